--- a/features/mutations/guards/promotions.py
+++ b/features/mutations/guards/promotions.py
@@ -7,9 +7,9 @@
 
 def acknowledged_without_grant() -> None:
     """Acknowledge what the primary answered, whatever became of the grant."""
-    from dogwoodspool_proxy.grants import GrantBook
+    from dogwoodspool_proxy.grants import GrantTracker
 
-    GrantBook.acknowledge = lambda _self, _permit, _position: True
+    GrantTracker.acknowledge = lambda _self, _permit, _position: True
 
 
 def one_observer_suffices() -> None:
--- a/features/mutations/guards/refusals.py
+++ b/features/mutations/guards/refusals.py
@@ -7,12 +7,12 @@
 
 def grant_never_expires() -> None:
     """Write under a grant that nobody renews."""
-    from dogwoodspool_proxy.grants import GrantBook
+    from dogwoodspool_proxy.grants import GrantTracker
 
     def _valid(self: Any, group: str, is_ending: bool = False) -> Any:
         return self._grants.get(group)
 
-    replace(GrantBook, "_valid", _valid)
+    replace(GrantTracker, "_valid", _valid)
 
 
 def deadline_unchecked() -> None:
--- a/packages/proxy/src/dogwoodspool_proxy/app.py
+++ b/packages/proxy/src/dogwoodspool_proxy/app.py
@@ -35,7 +35,7 @@
 from .backends import BackendRegistry
 from .diagnostics import ProxyDiagnostics
 from .endpoints import ProxyEndpoints
-from .grants import GrantBook
+from .grants import GrantTracker
 from .models import ProxySettings
 from .probes import ProbeCoordinator
 from .pruning import RequestPruner
@@ -58,7 +58,7 @@
         signer = RequestSigner(settings.shared_key.get_secret_value().encode())
         self._client = JsonClient(signer)
         self._views = ViewStore(settings.failure_domain, clock)
-        self._grants = GrantBook(clock)
+        self._grants = GrantTracker(clock)
         self._table = ServerTable(clock)
         self._registry = BackendRegistry(
             settings.name, self._views, self._table, self._probe_now, clock
--- a/packages/proxy/src/dogwoodspool_proxy/diagnostics.py
+++ b/packages/proxy/src/dogwoodspool_proxy/diagnostics.py
@@ -7,7 +7,7 @@
 from dogwoodspool_following import Rotation, ViewStore
 
 from .backends import BackendRegistry
-from .grants import GrantBook
+from .grants import GrantTracker
 
 
 class ProxyDiagnostics:
@@ -17,7 +17,7 @@
         self,
         name: str,
         views: ViewStore,
-        grants: GrantBook,
+        grants: GrantTracker,
         registry: BackendRegistry,
         callers: Callable[[], int],
         seconds_since_renewal: Callable[[], float | None],
--- a/packages/proxy/src/dogwoodspool_proxy/endpoints.py
+++ b/packages/proxy/src/dogwoodspool_proxy/endpoints.py
@@ -25,7 +25,7 @@
 from dogwoodspool_routing import ServerTable
 
 from .diagnostics import ProxyDiagnostics
-from .grants import GrantBook
+from .grants import GrantTracker
 
 
 class ProxyEndpoints:
@@ -35,7 +35,7 @@
         self,
         incarnation: str,
         failure_domain: str,
-        grants: GrantBook,
+        grants: GrantTracker,
         table: ServerTable,
         counters: Counters,
         diagnostics: ProxyDiagnostics,
--- a/packages/proxy/src/dogwoodspool_proxy/grants.py
+++ b/packages/proxy/src/dogwoodspool_proxy/grants.py
@@ -11,7 +11,7 @@
 from .models import HeldGrant, WritePermit
 
 
-class GrantBook:
+class GrantTracker:
     """Decide whether a write may start and whether it may be acknowledged.
 
     Control promotes a new primary only after each proxy has released its grant
--- a/packages/proxy/src/dogwoodspool_proxy/pruning.py
+++ b/packages/proxy/src/dogwoodspool_proxy/pruning.py
@@ -12,7 +12,7 @@
     PRUNE_INTERVAL_SECONDS,
     PRUNE_TIMEOUT_SECONDS,
 )
-from .grants import GrantBook
+from .grants import GrantTracker
 from .writes import WritePath
 
 
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, views: ViewStore, grants: GrantBook, writes: WritePath, clock: Clock
+        self, views: ViewStore, grants: GrantTracker, writes: WritePath, clock: Clock
     ) -> None:
         super().__init__("request-pruner", clock)
         self._views = views
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -46,7 +46,7 @@
     RESULT_STALL_SECONDS,
 )
 from .errors import NothingSentError
-from .grants import GrantBook
+from .grants import GrantTracker
 from .routers import GroupRouters
 
 
@@ -75,7 +75,7 @@
     def __init__(
         self,
         views: ViewStore,
-        grants: GrantBook,
+        grants: GrantTracker,
         access: BackendAccess,
         table: ServerTable,
         routers: GroupRouters,
--- a/packages/proxy/src/dogwoodspool_proxy/renew.py
+++ b/packages/proxy/src/dogwoodspool_proxy/renew.py
@@ -28,7 +28,7 @@
     RETRY_PAUSE_SECONDS,
     SHARE_EXPIRY_MARGIN_SECONDS,
 )
-from .grants import GrantBook
+from .grants import GrantTracker
 
 
 class RenewCoordinator(Coordinator):
@@ -38,7 +38,7 @@
         self,
         identity: RenewRequest,
         views: ViewStore,
-        grants: GrantBook,
+        grants: GrantTracker,
         registry: BackendRegistry,
         peers: ControlPeers,
         client: JsonClient,
--- a/packages/proxy/src/dogwoodspool_proxy/surroundings.py
+++ b/packages/proxy/src/dogwoodspool_proxy/surroundings.py
@@ -3,13 +3,15 @@
 from dogwoodspool_following import ControlContact, ViewStore
 from dogwoodspool_routing import ServerTable
 
-from .grants import GrantBook
+from .grants import GrantTracker
 
 
 class ProxySurroundings:
     """See ``Surroundings``."""
 
-    def __init__(self, views: ViewStore, grants: GrantBook, table: ServerTable) -> None:
+    def __init__(
+        self, views: ViewStore, grants: GrantTracker, table: ServerTable
+    ) -> None:
         self._views = views
         self._grants = grants
         self._table = table
--- a/packages/proxy/src/dogwoodspool_proxy/transactions.py
+++ b/packages/proxy/src/dogwoodspool_proxy/transactions.py
@@ -24,7 +24,7 @@
 from .answers import failed, refused, rolled_back, unknown
 from .callers import CallerState, Transaction
 from .errors import NothingSentError
-from .grants import GrantBook
+from .grants import GrantTracker
 from .models import WritePermit
 from .reads import ReadPath, answer_columns, unhurried_rows
 from .writes import WritePath
@@ -36,7 +36,7 @@
     def __init__(
         self,
         views: ViewStore,
-        grants: GrantBook,
+        grants: GrantTracker,
         reads: ReadPath,
         writes: WritePath,
         clock: Clock,
--- a/packages/proxy/src/dogwoodspool_proxy/writes.py
+++ b/packages/proxy/src/dogwoodspool_proxy/writes.py
@@ -47,7 +47,7 @@
     STATUS_TIMEOUT_SECONDS,
 )
 from .errors import NothingSentError
-from .grants import GrantBook
+from .grants import GrantTracker
 from .models import WritePermit
 from .reads import answer_columns
 
@@ -76,7 +76,7 @@
     def __init__(
         self,
         views: ViewStore,
-        grants: GrantBook,
+        grants: GrantTracker,
         access: BackendAccess,
         acks: ReplicaAcks,
         budget: RetryBudget,
--- a/tests/proxy/test_grants.py
+++ b/tests/proxy/test_grants.py
@@ -5,17 +5,17 @@
 
 from dogwoodspool_api import Grant
 from dogwoodspool_common import ManualClock, Position
-from dogwoodspool_proxy.grants import GrantBook
+from dogwoodspool_proxy.grants import GrantTracker
 
 LEASE = 1.5
 
 
-class GrantBookTests(unittest.TestCase):
+class GrantTrackerTests(unittest.TestCase):
     """Nothing is acknowledged without a valid grant."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.book = GrantBook(self.clock)
+        self.book = GrantTracker(self.clock)
 
     def renew(self, term: int, sent_at: float | None = None) -> None:
         sent = self.clock.now() if sent_at is None else sent_at
