--- a/packages/proxy/src/dogwoodspool_proxy/access.py
+++ b/packages/proxy/src/dogwoodspool_proxy/access.py
@@ -21,11 +21,11 @@
 
 
 class HeldConnection:
-    """A connection with its place among the server's admitted statements.
+    """A pooled connection together with its admission to the backend server.
 
-    It must be finished; finishing again does nothing. What the admission learns
-    is the time of one statement on the server, also where a transaction holds the
-    connection for much longer.
+    Every instance must be finished; finishing it again does nothing. The service
+    time reported to the admission queue is the mean time of one statement on the
+    server, also where a transaction holds the connection for much longer.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         return self._backend.server
 
     def execute(self, sql: str, deadline: float) -> StatementResult:
-        """Run one statement that leaves nothing behind in the session.
+        """Run one statement that does not change the server's session state.
 
         Raises:
             NothingSentError: the deadline has passed; nothing was sent.
@@ -80,15 +80,15 @@
             self._statements += 1
 
     def pause(self) -> None:
-        """Leave the place among admitted statements until ``resume``.
+        """End the admission until ``resume`` and keep the connection.
 
-        A transaction between two statements runs nothing on the server. Counted
-        as in flight, one idle transaction would keep out every other statement.
+        A transaction between two statements runs nothing on the server. If it
+        counted as in flight, one idle transaction could block every other statement.
         """
-        self._leave(True)
+        self._end_admission(True)
 
     def resume(self, deadline: float) -> ErrorAnswer | None:
-        """Wait for a place again; nothing was sent when a refusal is returned."""
+        """Wait for admission again; nothing was sent if a refusal is returned."""
         if self._admission is not None:
             return None
         admitted = self._backend.admission.admit(deadline, self._priority)
@@ -97,23 +97,25 @@
         self._admission = admitted.ok
         return None
 
-    def finish(self, is_good: bool) -> None:
-        """Give the connection back.
+    def finish(self, is_healthy: bool) -> None:
+        """Return the connection to the pool and end the admission.
 
         Args:
-            is_good: the server answered as it should; else the connection is
-                closed.
+            is_healthy: whether the connection can be reused; otherwise it is closed
+                and the admission counts as unanswered.
         """
         if self._is_finished:
             return
         self._is_finished = True
-        self._backend.pool.release(self.connection, reuse=is_good)
-        self._leave(is_good)
+        self._backend.pool.release(self.connection, reuse=is_healthy)
+        self._end_admission(is_healthy)
 
-    def _leave(self, is_good: bool) -> None:
+    def _end_admission(self, is_healthy: bool) -> None:
         if self._admission is None:
             return
-        outcome = AdmissionOutcome.ANSWERED if is_good else AdmissionOutcome.UNANSWERED
+        outcome = (
+            AdmissionOutcome.ANSWERED if is_healthy else AdmissionOutcome.UNANSWERED
+        )
         seconds = self._busy_seconds / max(1, self._statements)
         self._admission.done(seconds, outcome)
         self._admission = None
@@ -131,16 +133,16 @@
         self._clock = clock
 
     def report_failure(self, server: BackendServer, error: BackendError) -> None:
-        """Note that a server did not answer a statement as it should."""
+        """Report a failed statement or connection, which triggers a probe."""
         self._registry.report_failure(server, error)
 
     def open(
         self, server: BackendServer, deadline: float, priority: Priority
     ) -> Result[HeldConnection, ErrorAnswer]:
-        """Wait for a place and a connection until the clock's deadline.
+        """Wait for admission and a connection until the deadline (clock time).
 
-        A refusal comes at once where the wait would pass the deadline. Nothing
-        has been sent to the server when an error is returned.
+        The statement is refused at once if the estimated wait exceeds the deadline.
+        Nothing has been sent to the server when an error is returned.
         """
         backend = self._registry.backend(server)
         with span("admission.wait", server=server.name, priority=priority.name):
@@ -163,7 +165,7 @@
             )
         except PoolTimeoutError:
             admission.done(0.0, AdmissionOutcome.NO_WORK)
-            message = f"no connection to {name} came free"
+            message = f"no connection to {name} became free in time"
             return Error(refused(message, CONNECT_RETRY_AFTER_MS))
         except ConnectFailedError as error:
             admission.done(0.0, AdmissionOutcome.UNANSWERED)
@@ -177,5 +179,5 @@
 
 
 def admission_refused(server: BackendServer, refusal: Refusal) -> ErrorAnswer:
-    """Answer a statement that a server's admission queue refused."""
+    """Return the answer to a statement that the admission queue refused."""
     return refused(f"{server.name}: {refusal.reason}", refusal.retry_after_ms)
--- a/packages/proxy/src/dogwoodspool_proxy/acks.py
+++ b/packages/proxy/src/dogwoodspool_proxy/acks.py
@@ -1,4 +1,4 @@
-"""Wait until a replica has a write, so that a failover cannot lose it."""
+"""Wait until a replica has received a write, so that a failover cannot lose it."""
 
 import threading
 
@@ -14,11 +14,11 @@
 
 
 class ReplicaAcks:
-    """Confirm writes of every group by its replicas.
+    """Confirm the writes of each group by one of its replicas.
 
-    All writes of a group that wait share one connection to one replica, however
-    many they are: connections are scarce, and a replica that has the later
-    position has the earlier ones.
+    All waiting writes of a group share one connection to one replica, however many
+    they are: connections are scarce, and a replica that has reached a later position
+    has the earlier ones too.
     """
 
     def __init__(
@@ -33,33 +33,33 @@
         self._registry = registry
         self._clock = clock
         self._lock = threading.Lock()
-        self._followers: dict[str, _ReplicaFollower] = {}
+        self._workers: dict[str, _ReplicaAckWorker] = {}
 
     def wait(self, group: str, position: Position, timeout: float) -> bool:
-        """Wait until a replica has a position; False when time ran out."""
-        return self._follower(group).wait(position, timeout)
+        """Wait until a replica has reached a position; return False on timeout."""
+        return self._worker(group).wait(position, timeout)
 
     def unload(self) -> None:
-        """Stop following replicas."""
+        """Stop the workers of all groups."""
         with self._lock:
-            followers = list(self._followers.values())
-        for follower in followers:
-            follower.unload()
+            workers = list(self._workers.values())
+        for worker in workers:
+            worker.unload()
 
-    def _follower(self, group: str) -> "_ReplicaFollower":
+    def _worker(self, group: str) -> "_ReplicaAckWorker":
         with self._lock:
-            follower = self._followers.get(group)
-            if follower is None:
-                follower = _ReplicaFollower(
+            worker = self._workers.get(group)
+            if worker is None:
+                worker = _ReplicaAckWorker(
                     group, self._views, self._registry, self._table, self._clock
                 )
-                follower.set_up()
-                self._followers[group] = follower
-            return follower
+                worker.set_up()
+                self._workers[group] = worker
+            return worker
 
 
-class _ReplicaFollower:
-    """Follow one group's replicas while writes wait, one replica at a time."""
+class _ReplicaAckWorker:
+    """Wait on one group's replicas while writes wait, one replica at a time."""
 
     def __init__(
         self,
@@ -78,8 +78,8 @@
         self._waiting: list[Position] = []
         self._confirmed: Position | None = None
         self._is_stopped = False
-        self._is_view_new = False
-        self._turn = 0
+        self._has_new_view = False
+        self._candidate_index = 0
         self._primary = ""
         self._held: tuple[Backend, BackendConnection] | None = None
         self._thread = threading.Thread(
@@ -87,19 +87,19 @@
         )
 
     def set_up(self) -> None:
-        """Begin to follow."""
-        self._views.add_listener(self._look_again)
+        """Start the worker thread."""
+        self._views.add_listener(self._on_view)
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop and give the connection back."""
+        """Stop the worker thread and release its connection."""
         with self._changed:
             self._is_stopped = True
             self._changed.notify_all()
         self._thread.join()
 
     def wait(self, position: Position, timeout: float) -> bool:
-        """Wait until a replica has a position; False when time ran out."""
+        """Wait until a replica has reached a position; return False on timeout."""
         deadline = self._clock.now() + timeout
         with self._changed:
             self._waiting.append(position)
@@ -120,9 +120,9 @@
             if target is None:
                 break
             try:
-                if not self._follow(target):
-                    self._turn += 1
-                    self._give_back()
+                if not self._await_replica(target):
+                    self._candidate_index += 1
+                    self._release_connection()
             except BackendError as error:
                 if not isinstance(error, PoolTimeoutError):
                     log_event(
@@ -131,18 +131,18 @@
                         group=self._group,
                         error=error,
                     )
-                self._turn += 1
-                self._give_back()
+                self._candidate_index += 1
+                self._release_connection()
                 self._clock.sleep(RETRY_PAUSE_SECONDS / 2)
-        self._give_back()
+        self._release_connection()
 
     def _next_target(self) -> Position | None:
-        """Return the lowest position that a write waits for; None to stop."""
+        """Return the lowest position that a write waits for; None once stopped."""
         with self._changed:
             while not self._is_stopped:
-                if self._is_view_new:
-                    self._is_view_new = False
-                    self._give_back()
+                if self._has_new_view:
+                    self._has_new_view = False
+                    self._release_connection()
                 open_positions = [
                     position
                     for position in self._waiting
@@ -150,13 +150,14 @@
                 ]
                 if open_positions:
                     return min(open_positions)
-                # At a share of one, a read of the writer waits for this connection.
-                self._give_back()
+                # With a share of one connection, the writer's next read waits for
+                # this connection.
+                self._release_connection()
                 self._clock.wait(self._changed, ACK_IDLE_SECONDS)
             return None
 
-    def _follow(self, target: Position) -> bool:
-        """Wait on a replica for a position; tell whether to stay with it."""
+    def _await_replica(self, target: Position) -> bool:
+        """Wait on a replica for a position; return whether to keep using it."""
         connection = self._connection()
         if connection is None:
             self._clock.sleep(RETRY_PAUSE_SECONDS / 2)
@@ -167,7 +168,7 @@
         status = connection.wait_for(
             target, ACK_WAIT_SLICE_SECONDS, ACK_WAIT_SLICE_SECONDS + answer_timeout
         )
-        # The writer's next read finds here that this replica has the write.
+        # Lets the router send the writer's next read to this replica.
         self._table.note_status(status, asked_at)
         with self._changed:
             self._confirmed = status.position
@@ -186,47 +187,48 @@
         candidates = self._candidates()
         if not candidates:
             return None
-        server = candidates[self._turn % len(candidates)]
+        server = candidates[self._candidate_index % len(candidates)]
         backend = self._registry.backend(server)
         deadline = self._clock.now() + ACK_WAIT_SLICE_SECONDS * 2
         self._held = backend, backend.pool.acquire(deadline, is_probe=True)
         return self._held[1]
 
     def _candidates(self) -> list[BackendServer]:
-        """Return the group's replicas, those away from the primary first.
+        """Return the group's replicas, those in other failure domains first.
 
-        A replica in another failure domain is there when the primary's own is
-        lost as a whole.
+        A replica in another failure domain survives the loss of the primary's whole
+        failure domain.
         """
         view = self._views.view
         state = view.groups.get(self._group)
         if state is None:
             return []
-        # While a promotion has chosen no primary, writes in flight at the one
-        # before still end; the release waits for them.
+        # Until a promotion has chosen a new primary, writes in flight at the previous
+        # one still finish, and the release of the grant waits for them.
         self._primary = state.primary or self._primary
         primary = view.servers.get(self._primary)
-        home = primary.failure_domain if primary else ""
+        primary_domain = primary.failure_domain if primary else ""
         replicas = [
             server
             for server in view.servers.values()
             if server.group == self._group and server.name != self._primary
         ]
         return sorted(
-            replicas, key=lambda server: (server.failure_domain == home, server.name)
+            replicas,
+            key=lambda server: (server.failure_domain == primary_domain, server.name),
         )
 
-    def _look_again(self, _view: ProxyView) -> None:
-        """Wake the follower, whose replica may have become the primary.
+    def _on_view(self, _view: ProxyView) -> None:
+        """Wake the worker, since its replica may have become the primary.
 
-        It holds maybe this proxy's only connection to that server, and the first
+        The worker may hold this proxy's only connection to that server, and the first
         writes after a promotion would wait for it.
         """
         with self._changed:
-            self._is_view_new = True
+            self._has_new_view = True
             self._changed.notify_all()
 
-    def _give_back(self) -> None:
+    def _release_connection(self) -> None:
         if self._held is None:
             return
         backend, connection = self._held
--- a/packages/proxy/src/dogwoodspool_proxy/app.py
+++ b/packages/proxy/src/dogwoodspool_proxy/app.py
@@ -1,4 +1,4 @@
-"""Wire the parts of a proxy together."""
+"""Assemble the components of a proxy process."""
 
 import ssl
 import threading
@@ -39,11 +39,11 @@
 from .models import ProxySettings
 from .probes import ProbeCoordinator
 from .pruning import RequestPruner
+from .reachability import ProxyReachability
 from .reads import ReadPath
 from .renew import RenewCoordinator
 from .routers import GroupRouters
 from .sessions import CallerSessions
-from .surroundings import ProxySurroundings
 from .transactions import TransactionPath
 from .writes import WritePath
 
@@ -75,27 +75,27 @@
             workers=settings.workers,
             max_callers=settings.max_callers,
         )
-        self._rotation_watch.follow(self._listener)
+        self._rotation_coordinator.follow(self._listener)
         self._build_http(signer)
 
     @property
     def caller_address(self) -> Address:
-        """Where callers connect."""
+        """The address on which callers connect."""
         return self._listener.address
 
     @property
     def http_address(self) -> Address:
-        """Where the proxy's HTTP answers."""
+        """The address of the proxy's HTTP server."""
         return self._http.address
 
     def set_up(self) -> None:
-        """Start every part.
+        """Start all components.
 
-        Callers are accepted at once and refused as not run until the first view
-        has come from control.
+        Callers are accepted at once, but their statements are refused as not run
+        until the first view has been received from control.
         """
-        self._views.add_listener(self._follow_settings)
-        self._views.add_listener(self._follow_servers)
+        self._views.add_listener(self._apply_settings)
+        self._views.add_listener(self._apply_servers)
         self._registry.set_up()
         self._probes.set_up()
         self._http.set_up()
@@ -105,7 +105,7 @@
         self._sessions.set_up()
         self._pruner.set_up()
         self._listener.set_up()
-        self._rotation_watch.set_up()
+        self._rotation_coordinator.set_up()
         self._views.add_listener(self._renew_for_changed_groups)
         log_event(
             "proxy_started",
@@ -114,7 +114,7 @@
         )
 
     def drain(self) -> bool:
-        """Finish what is in flight; tell whether nothing had to be cut."""
+        """Finish requests in flight; return whether none had to be aborted."""
         log_event("drain_started", callers=self._listener.callers)
         self._diagnostics.start_draining()
         is_complete = self._listener.drain(self._settings.drain_seconds)
@@ -122,14 +122,14 @@
         return is_complete
 
     def unload(self) -> None:
-        """Give grants and shares back and stop every part."""
+        """Release grants and connection shares and stop all components."""
         self._renew.start_draining()
-        self._rotation_watch.unload()
+        self._rotation_coordinator.unload()
         self._listener.unload()
         for group in self._views.view.groups.values():
             self._grants.release(group.name, group.term, 0)
         self._renew.unload()
-        self._give_back()
+        self._report_release()
         self._watch.unload()
         self._sessions.unload()
         self._pruner.unload()
@@ -141,7 +141,7 @@
         log_event("proxy_stopped")
 
     def request_drain(self) -> None:
-        """Begin to drain; the process stays until it is signalled."""
+        """Start draining; the process keeps running until it gets a signal."""
         threading.Thread(target=self.drain, name="drain", daemon=True).start()
 
     def _build_statement_paths(self) -> None:
@@ -184,10 +184,10 @@
             self._clock,
         )
         self._rotation = Rotation(self._clock)
-        self._rotation_watch = RotationCoordinator(
+        self._rotation_coordinator = RotationCoordinator(
             self._rotation,
             self._peers,
-            ProxySurroundings(self._views, self._grants, self._table),
+            ProxyReachability(self._views, self._grants, self._table),
             self._clock,
         )
 
@@ -250,17 +250,17 @@
     def _observe(self) -> list[Observation]:
         return self._table.observations()
 
-    def _follow_settings(self, _view: ProxyView) -> None:
+    def _apply_settings(self, _view: ProxyView) -> None:
         settings = self._views.settings(None)
         self._budget.change(settings.retry_budget_ratio, settings.retry_budget_min)
 
-    def _follow_servers(self, view: ProxyView) -> None:
+    def _apply_servers(self, view: ProxyView) -> None:
         self._table.adopt_committed(view.servers.values())
 
     def _renew_for_changed_groups(self, view: ProxyView) -> None:
-        """Ask for grants at once when a promotion has ended.
+        """Request grants at once when a group's term or phase has changed.
 
-        Without it callers would wait for the next renewal after each failover.
+        Otherwise callers would wait for the next periodic renewal after each failover.
         """
         terms = {
             group.name: (group.term, group.phase) for group in view.groups.values()
@@ -269,8 +269,8 @@
             self._terms = terms
             self._renew_now()
 
-    def _give_back(self) -> None:
-        """Tell control at once that this proxy holds nothing any more."""
+    def _report_release(self) -> None:
+        """Report to control at once that this proxy holds no grants any more."""
         self._renew.step()
 
 
--- a/packages/proxy/src/dogwoodspool_proxy/backends.py
+++ b/packages/proxy/src/dogwoodspool_proxy/backends.py
@@ -1,4 +1,4 @@
-"""Pools and admission queues of the backend servers that this proxy uses."""
+"""Connection pools and admission queues of the backend servers."""
 
 import threading
 from collections.abc import Callable, Iterable, Mapping
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One backend server with what bounds the work on it."""
+    """A backend server with its connection pool and admission queue."""
 
     server: BackendServer
     pool: MySqlPool
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendUsage:
-    """How much of a backend server this proxy uses."""
+    """Connections and statements of this proxy at a backend server."""
 
     server: str
     limit: int
@@ -44,8 +44,8 @@
 class BackendRegistry:
     """Keep a pool and an admission queue for each backend server.
 
-    A server that comes back under its name with another address gets new ones;
-    a server that control has removed loses them.
+    A server that returns under its name with another address gets new ones; those
+    of a server that control has removed are closed.
     """
 
     def __init__(
@@ -67,8 +67,8 @@
         self._shares_until = 0.0
 
     def set_up(self) -> None:
-        """Follow the view."""
-        self._views.add_listener(self._follow)
+        """Start following the view."""
+        self._views.add_listener(self._apply_view)
 
     def unload(self) -> None:
         """Close idle connections."""
@@ -79,7 +79,7 @@
             backend.pool.unload()
 
     def backend(self, server: BackendServer) -> Backend:
-        """Return what bounds the work on a server."""
+        """Return a server's pool and admission queue; create them if needed."""
         with self._lock:
             known = self._backends.get(server.name)
             if known is not None and known.server.address == server.address:
@@ -91,7 +91,7 @@
         return backend
 
     def demand(self) -> dict[str, int]:
-        """Return the connections wanted for each backend server."""
+        """Return the number of connections needed for each backend server."""
         with self._lock:
             backends = list(self._backends.values())
         return {
@@ -100,7 +100,7 @@
         }
 
     def usage(self) -> list[BackendUsage]:
-        """Return how much of each backend server is in use."""
+        """Return the usage of each backend server."""
         with self._lock:
             backends = list(self._backends.values())
         return [
@@ -115,7 +115,7 @@
         ]
 
     def grant_shares(self, shares: Mapping[str, int], until: float) -> None:
-        """Put leased shares of connections in force until a clock time."""
+        """Apply leased connection shares until a clock time in seconds."""
         with self._lock:
             self._shares = dict(shares)
             self._shares_until = until
@@ -123,10 +123,10 @@
         self._set_limits(backends)
 
     def expire_shares(self) -> None:
-        """Fall back to the durable base shares once the leased ones ran out.
+        """Fall back to the permanent base shares once the leased ones have expired.
 
-        While this proxy is cut off, control leases the same connections to
-        others; only the base share is its own also then.
+        While this proxy is cut off, control leases the same connections to other
+        proxies; only the base share remains reserved for this one.
         """
         with self._lock:
             if not self._shares or self._clock.now() < self._shares_until:
@@ -137,10 +137,10 @@
         self._set_limits(backends)
 
     def report_failure(self, server: BackendServer, error: BackendError) -> None:
-        """Note that a statement or connection failed, and probe the server at once.
+        """Record a failed statement or connection, and probe the server at once.
 
-        The next probe decides whether the server is unreachable: one connection
-        may be lost, or one statement slow, on a server that works.
+        The next probe decides whether the server is unreachable: on a working server
+        a single connection may be lost or a single statement slow.
         """
         log_event("backend_failed", level="DEBUG", server=server.name, error=error)
         if isinstance(error, ConnectFailedError) and error.suggests_unreachable:
@@ -171,8 +171,8 @@
             self._clock,
         )
 
-    def _follow(self, view: ProxyView) -> None:
-        """Forget removed servers and put changed settings in force."""
+    def _apply_view(self, view: ProxyView) -> None:
+        """Drop removed servers and apply changed settings."""
         with self._lock:
             removed = [
                 self._backends.pop(name)
@@ -180,7 +180,7 @@
                 if name not in view.servers
             ]
             changed = [
-                (backend, self._renewed(name, backend))
+                (backend, self._with_current_settings(name, backend))
                 for name, backend in self._backends.items()
                 if self._views.settings(backend.server.group) != backend.settings
             ]
@@ -189,12 +189,12 @@
         for before, after in changed:
             settings = after.settings
             after.admission.set_queue_limit(settings.queue_limit)
-            if _connects_otherwise(before.settings, settings):
+            if _connects_differently(before.settings, settings):
                 connector = self._connector(settings)
                 after.pool.change(connector, PoolSettings.of(settings))
         self._set_limits(list(self._backends.values()))
 
-    def _renewed(self, name: str, backend: Backend) -> Backend:
+    def _with_current_settings(self, name: str, backend: Backend) -> Backend:
         settings = self._views.settings(backend.server.group)
         self._backends[name] = replace(backend, settings=settings)
         return self._backends[name]
@@ -203,20 +203,21 @@
         for backend in backends:
             limit = self._limit(backend.server)
             backend.pool.set_limit(limit)
-            # A place beyond the connections that callers may hold would only move
-            # the wait into the pool, where nobody estimates it.
+            # Admitting more statements than callers may hold connections would move
+            # the wait into the pool, where it is not estimated.
             backend.admission.set_max_in_flight(backend.pool.caller_limit)
 
     def _limit(self, server: BackendServer) -> int:
         if self._proxy not in self._views.view.proxies:
-            # Control may have no room for this proxy; its base share is another's.
+            # Control may have no room for this proxy; its base share then belongs to
+            # another one.
             return 0
         base = base_share(server.connections, self._views.settings(server.group))
         return max(base, self._shares.get(server.name, 0))
 
 
-def _connects_otherwise(before: EffectiveSettings, after: EffectiveSettings) -> bool:
-    """Tell whether open connections are not those that the settings ask for."""
+def _connects_differently(before: EffectiveSettings, after: EffectiveSettings) -> bool:
+    """Return whether the new settings require new connections."""
     return (
         PoolSettings.of(before) != PoolSettings.of(after)
         or before.backend_user != after.backend_user
--- a/packages/proxy/src/dogwoodspool_proxy/caller_session.py
+++ b/packages/proxy/src/dogwoodspool_proxy/caller_session.py
@@ -1,4 +1,4 @@
-"""One caller connection: sends each statement on the way that its kind needs."""
+"""Session of one caller connection; dispatches statements by their kind."""
 
 import threading
 from collections.abc import Callable
@@ -40,7 +40,7 @@
 
 
 class ProxySession:
-    """Serve one caller connection."""
+    """Serve the statements of one caller connection."""
 
     def __init__(
         self,
@@ -65,16 +65,16 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether a transaction is open."""
+        """Return whether a transaction is open."""
         return self._caller.transaction is not None
 
     @property
     def is_autocommit(self) -> bool:
-        """Tell whether each statement commits by itself."""
+        """Return whether each statement commits by itself."""
         return self._caller.is_autocommit
 
     def use(self, database: str) -> ErrorAnswer | None:
-        """Choose the database group."""
+        """Select the database group."""
         if self._caller.transaction is not None:
             message = "the database cannot change inside a transaction"
             return failed_with(ER_NOT_SUPPORTED, message)
@@ -91,22 +91,22 @@
         return answer
 
     def reset(self) -> None:
-        """Roll back and forget what the connection has set."""
+        """Roll back and reset the connection's session state."""
         with self._lock:
             self._transactions.end(self._caller)
             self._caller.is_autocommit = True
             self._caller.last_insert_id = 0
 
     def close(self) -> None:
-        """Roll back and give everything back."""
+        """Roll back, release all resources and report the end of the session."""
         with self._lock:
             self._transactions.end(self._caller)
         self._on_close(self)
 
     def expire_transaction(self) -> None:
-        """Undo a transaction that is open for too long and does nothing."""
+        """Roll back a transaction that has been open for too long and is idle."""
         if not self._lock.acquire(blocking=False):
-            return  # A statement is running; its own deadline bounds it.
+            return  # A statement is running and is bounded by its own deadline.
         try:
             self._transactions.expire(self._caller)
         finally:
@@ -122,8 +122,8 @@
             case StatementKind.IGNORED:
                 return DoneAnswer()
             case StatementKind.UNSUPPORTED:
-                what = ", ".join(request.classified.names)
-                message = f"not supported through a pooled connection: {what}"
+                names = ", ".join(request.classified.names)
+                message = f"not supported through a pooled connection: {names}"
                 return failed_with(ER_NOT_SUPPORTED, message)
             case StatementKind.LOCAL_SELECT:
                 return self._local_select(request.classified.names)
@@ -140,7 +140,7 @@
             case StatementKind.ROLLBACK:
                 return self._transactions.rollback(caller, deadline)
         if not caller.group:
-            return not_run(ER_NO_DATABASE, "no database group is chosen")
+            return not_run(ER_NO_DATABASE, "no database group is selected")
         return self._run_on_group(request, deadline)
 
     def _run_on_group(self, request: StatementRequest, deadline: float) -> Answer:
@@ -154,7 +154,7 @@
             return self._transactions.run(caller, request, deadline)
         is_write = kind in WRITING_KINDS
         # Without autocommit the first statement begins a transaction. A read that
-        # states an age asks for no isolation and stays outside.
+        # states a maximum age asks for no isolation and runs outside of one.
         if not caller.is_autocommit and (
             is_write or request.properties.max_age_ms is None
         ):
@@ -190,7 +190,7 @@
         return TokenCodec(bytes.fromhex(key)) if key else None
 
     def _no_key(self) -> ErrorAnswer:
-        message = "no token_key is set for this system"
+        message = "token_key is not set in the settings"
         return no_primary(message, NO_PRIMARY_RETRY_AFTER_MS)
 
     def _local_select(self, names: tuple[str, ...]) -> Answer:
--- a/packages/proxy/src/dogwoodspool_proxy/callers.py
+++ b/packages/proxy/src/dogwoodspool_proxy/callers.py
@@ -1,4 +1,4 @@
-"""What the proxy keeps for one caller connection."""
+"""State of one caller connection."""
 
 from dataclasses import dataclass, field
 
@@ -11,15 +11,15 @@
 class Transaction:
     """One open transaction.
 
-    The connection is taken with the first statement, so that a transaction
+    The connection is acquired with the first statement, so that a transaction
     without statements holds none of the scarce connections.
 
     Attributes:
-        is_read_only: the caller said so when it began.
-        began_at: clock time in seconds.
+        is_read_only: whether the caller began it as read-only.
+        began_at: clock time in seconds at which it began.
         permit: the right to write; None in a read-only transaction.
         held: the connection; None before the first statement.
-        has_failed: the transaction was undone and only its end is missing.
+        has_failed: whether it was rolled back and only waits to be ended.
     """
 
     def __init__(self, is_read_only: bool, began_at: float) -> None:
@@ -32,15 +32,15 @@
 
 @dataclass(slots=True)
 class CallerState:
-    """One caller connection.
+    """State of one caller connection.
 
     Attributes:
-        user: the authenticated caller.
-        group: database group in use; empty before one is chosen.
-        session: what the caller has written and must be able to read.
-        is_autocommit: each statement commits by itself.
+        user: name of the authenticated caller.
+        group: selected database group; empty before one is selected.
+        session: positions of the writes that the caller must be able to read.
+        is_autocommit: whether each statement commits by itself.
         last_insert_id: generated key of the caller's last write.
-        transaction: the open transaction.
+        transaction: the open transaction; None when there is none.
     """
 
     user: str
--- a/packages/proxy/src/dogwoodspool_proxy/const.py
+++ b/packages/proxy/src/dogwoodspool_proxy/const.py
@@ -13,8 +13,8 @@
 CONNECT_RETRY_AFTER_MS: Final = 100
 
 MAX_READ_ATTEMPTS: Final = 4
-# Part of a read's time that its first attempt gets.
-READ_ATTEMPT_SHARE: Final = 0.75
+# Fraction of a read's remaining time that its first attempt may use.
+READ_ATTEMPT_FRACTION: Final = 0.75
 RESULT_STALL_SECONDS: Final = 10.0
 RESULT_STALL_ROWS: Final = 256
 ACK_WAIT_SLICE_SECONDS: Final = 0.05
@@ -35,8 +35,9 @@
 FAILING_PROBE_SECONDS: Final = 0.1
 FAILING_RENEW_SECONDS: Final = 0.1
 
-# Transactions may hold every connection for long. A share that can grow has grown
-# by then; a caller that waits longer is told to come back instead.
+# Transactions may hold every connection for a long time. A connection share that can
+# grow has grown within this time; a caller that would wait longer is refused and told
+# when to retry.
 MAX_CONNECTION_WAIT_SECONDS: Final = 0.7
 REPLICA_PROBE_FACTOR: Final = 4
 SHARE_EXPIRY_MARGIN_SECONDS: Final = RENEW_TIMEOUT_SECONDS + RETRY_PAUSE_SECONDS
--- a/packages/proxy/src/dogwoodspool_proxy/diagnostics.py
+++ b/packages/proxy/src/dogwoodspool_proxy/diagnostics.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a proxy."""
+"""Readiness, status page and gauges of a proxy."""
 
 from collections.abc import Callable
 from dataclasses import asdict
@@ -11,7 +11,7 @@
 
 
 class ProxyDiagnostics:
-    """Describe the state of a proxy."""
+    """Report the state of a proxy to the load balancer and operators."""
 
     def __init__(
         self,
@@ -39,19 +39,20 @@
     def not_ready_reason(self) -> str | None:
         """Return why the balancer should send no callers; None when it may.
 
-        Asked by the balancer alone: the rotation counts how often it was refused.
+        Call this for the balancer's health checks only: the rotation counts how often
+        the balancer was refused.
         """
-        takes_callers = self._rotation.answer_balancer()
+        accepts_callers = self._rotation.answer_balancer()
         if self._is_draining:
             return "draining"
-        if not takes_callers:
+        if not accepts_callers:
             return "cut off"
         if not self._views.is_filled:
             return "no settings from control yet"
         return None
 
     def status(self) -> dict[str, Any]:
-        """Return the status page's content."""
+        """Return the content of the status page."""
         view = self._views.view
         return {
             "proxy": self._name,
@@ -74,7 +75,7 @@
         }
 
     def gauges(self) -> str:
-        """Return the current values for the metrics page."""
+        """Return the gauges in the text format of the metrics page."""
         since = self._seconds_since_renewal()
         lines = [
             f"dogwoodspool_view_version {self._views.view.version}",
--- a/packages/proxy/src/dogwoodspool_proxy/endpoints.py
+++ b/packages/proxy/src/dogwoodspool_proxy/endpoints.py
@@ -1,4 +1,4 @@
-"""The proxy's HTTP: for backend servers, control, the balancer and operators."""
+"""HTTP endpoints for backend servers, control, the load balancer and operators."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
 
 
 class ProxyEndpoints:
-    """Answer the proxy's HTTP requests."""
+    """Handle the proxy's HTTP requests."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._drain = drain
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
+        """Return the routes of all endpoints."""
         return [
             Route("POST", PATH_ANNOUNCE, self._announce),
             Route("POST", PATH_RELEASE, self._release),
--- a/packages/proxy/src/dogwoodspool_proxy/grants.py
+++ b/packages/proxy/src/dogwoodspool_proxy/grants.py
@@ -1,4 +1,4 @@
-"""The grants that this proxy holds, and what it acknowledged under them."""
+"""Grants that this proxy holds, and the positions acknowledged under them."""
 
 import math
 import threading
@@ -15,9 +15,9 @@
     """Decide whether a write may start and whether it may be acknowledged.
 
     Control promotes a new primary only after each proxy has released its grant
-    or the grant has run out. So a write that a replaced primary answers late
-    must not be acknowledged: the grant is checked when the answer is there,
-    under the same lock under which it is released.
+    or the grant has expired. So a write that a replaced primary answers late must
+    not be acknowledged: the grant is checked when the answer has arrived, under the
+    lock under which grants are released.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -36,31 +36,31 @@
         sent_at: float,
         lease_seconds: float,
     ) -> None:
-        """Take over the answer of a renewal.
+        """Apply the response to a renewal.
 
         Args:
-            grants: what the leader gave.
-            withdrawn: groups whose grant must be given up at once.
+            grants: grants given by the control leader.
+            withdrawn: groups whose grant must be dropped at once.
             sent_at: clock time at which the renewal was *sent*: the leader may
                 have answered at any moment since.
-            lease_seconds: life of the grants from then on.
+            lease_seconds: lifetime of the grants, counted from ``sent_at``.
         """
         with self._changed:
             for grant in grants:
-                self._take(grant, sent_at + lease_seconds)
+                self._accept(grant, sent_at + lease_seconds)
             for group in withdrawn:
-                self._drop(group)
+                self._remove(group)
 
     def current(self, group: str) -> HeldGrant | None:
-        """Return the grant that is valid now."""
+        """Return the group's valid grant; None without one."""
         with self._changed:
             return self._valid(group)
 
     def unconfirmed_seconds(self, group: str, term: int) -> float:
-        """Return the time since the term was last surely the newest one.
+        """Return the seconds since the term was last known to be the newest one.
 
         While the grant is valid no newer primary acknowledges anything, so the
-        answer is 0. It is infinite for a term that was never confirmed here.
+        result is 0. It is infinite for a term that was never confirmed here.
         """
         with self._changed:
             known_term, until = self._confirmed_until.get(group, (0, 0.0))
@@ -69,7 +69,7 @@
             return max(0.0, self._clock.now() - until)
 
     def begin_write(self, group: str) -> WritePermit | None:
-        """Let a write start under the grant that is valid now, if there is one."""
+        """Start a write under the valid grant; return None without one."""
         with self._changed:
             grant = self._valid(group)
             if grant is None:
@@ -78,13 +78,13 @@
             return WritePermit(group, grant.term, grant.primary)
 
     def is_valid(self, permit: WritePermit) -> bool:
-        """Tell whether the permit's grant is still valid, also while it drains."""
+        """Return whether the permit's grant is valid, also during its release."""
         with self._changed:
             grant = self._valid(permit.group, is_ending=True)
             return grant is not None and grant.term == permit.term
 
     def acknowledge(self, permit: WritePermit, position: Position) -> bool:
-        """Decide whether a write that the primary answered is acknowledged.
+        """Decide whether a write that the primary has answered is acknowledged.
 
         The position is recorded in the same step, so that a release never
         misses a write that was acknowledged.
@@ -99,16 +99,16 @@
             return True
 
     def end_write(self, permit: WritePermit) -> None:
-        """Note that a write or transaction is over, whatever its outcome."""
+        """Record the end of a write or transaction, whatever its outcome."""
         with self._changed:
             self._writing[permit.group, permit.term] -= 1
             self._changed.notify_all()
 
     def release(self, group: str, term: int, drain_seconds: float) -> Position | None:
-        """Give up the grants of a group up to a term, for good.
+        """Release the grants of a group up to a term, permanently.
 
         No write starts from now on. Writes in flight have ``drain_seconds`` to
-        end; what ends later is not acknowledged.
+        finish; those that finish later are not acknowledged.
 
         Returns:
             The highest position that this proxy acknowledged.
@@ -121,11 +121,11 @@
                 if remaining <= 0:
                     break
                 self._clock.wait(self._changed, remaining)
-            self._drop(group, up_to_term=term)
+            self._remove(group, up_to_term=term)
             return self._acked.get(group)
 
     def reports(self, groups: Iterable[str]) -> list[GroupReport]:
-        """Describe grants and acknowledged positions for the next renewal."""
+        """Return held grants and acknowledged positions for the next renewal."""
         with self._changed:
             return [self._report(group) for group in groups]
 
@@ -138,9 +138,9 @@
             acked=PositionMessage.of(acked) if acked else None,
         )
 
-    def _take(self, grant: Grant, expires_at: float) -> None:
-        # An answer that was on its way while the grant was released must not
-        # bring it back.
+    def _accept(self, grant: Grant, expires_at: float) -> None:
+        # A response that was in flight while the grant was released must not
+        # restore it.
         if grant.term <= self._released.get(grant.group, 0):
             return
         held = self._grants.get(grant.group)
@@ -160,7 +160,7 @@
         )
         self._confirmed_until[grant.group] = (grant.term, expires_at)
 
-    def _drop(self, group: str, up_to_term: int | None = None) -> None:
+    def _remove(self, group: str, up_to_term: int | None = None) -> None:
         held = self._grants.get(group)
         if held is None or (up_to_term is not None and held.term > up_to_term):
             return
--- a/packages/proxy/src/dogwoodspool_proxy/main.py
+++ b/packages/proxy/src/dogwoodspool_proxy/main.py
@@ -40,7 +40,7 @@
 
 
 def main() -> int:
-    """Run until a signal, then finish what is in flight."""
+    """Run until a signal arrives, then finish requests in flight."""
     settings = read_settings(__doc__ or "", ProxySettings)
     set_up_logging(PROGRAM, settings.name, settings.log_level)
     set_up_tracing(PROGRAM, settings.name, settings.trace_file)
--- a/packages/proxy/src/dogwoodspool_proxy/models.py
+++ b/packages/proxy/src/dogwoodspool_proxy/models.py
@@ -40,10 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldGrant:
-    """The right to write to a group's primary.
+    """The right to write to a group's primary, valid for a limited time.
 
     Attributes:
-        expires_at: clock time in seconds, counted from when the renewal was sent.
+        expires_at: clock time in seconds; the lease counts from the moment at which
+            the renewal was sent.
     """
 
     group: str
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class WritePermit:
-    """One write or transaction under a grant; given back when it has ended."""
+    """The permission for one write or transaction; released when it has ended."""
 
     group: str
     term: int
--- a/packages/proxy/src/dogwoodspool_proxy/probes.py
+++ b/packages/proxy/src/dogwoodspool_proxy/probes.py
@@ -1,4 +1,4 @@
-"""Probe the backend servers of the groups that this proxy serves."""
+"""Probes of the backend servers in the view."""
 
 import threading
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class ServerProber(Coordinator):
-    """Probe one backend server again and again."""
+    """Probe one backend server periodically."""
 
     def __init__(
         self,
@@ -40,23 +40,24 @@
             status = self._probe.status(self._server)
         except BackendError as error:
             if error.is_sign_of_life:
-                # Full, or misled by its settings, but no failed server.
+                # It answered: it is out of connections or rejects the configured status
+                # statement, but it has not failed.
                 self._table.note_reachable(self._server.name)
             if not error.suggests_unreachable:
                 return interval
             is_down = isinstance(error, ServerDownError)
             self._table.note_failure(self._server.name, is_down=is_down)
-            self._note(is_reachable=False)
+            self._set_reachable(is_reachable=False)
             return min(interval, FAILING_PROBE_SECONDS)
         self._table.note_status(status, asked_at)
-        self._note(is_reachable=True)
+        self._set_reachable(is_reachable=True)
         return interval
 
     def _interval(self) -> float:
         """Return the seconds between probes.
 
-        A failover waits for probes of the primary. A replica that has failed costs
-        a read one retry, and reads that need a newer status ask for it themselves.
+        A failover waits for probes of the primary. A failed replica costs a read one
+        retry, and reads that need a newer status query it themselves.
         """
         settings = self._views.settings(self._server.group)
         interval = settings.probe_interval_ms / MILLISECONDS
@@ -65,7 +66,7 @@
             return interval
         return interval * REPLICA_PROBE_FACTOR
 
-    def _note(self, is_reachable: bool) -> None:
+    def _set_reachable(self, is_reachable: bool) -> None:
         if is_reachable == self._is_reachable:
             return
         self._is_reachable = is_reachable
@@ -92,15 +93,15 @@
         self._probers: dict[str, tuple[BackendServer, ServerProber]] = {}
 
     def set_up(self) -> None:
-        """Follow the view."""
-        self._views.add_listener(self._follow)
+        """Start following the view."""
+        self._views.add_listener(self._update_probers)
 
     def probe_now(self, server: str) -> None:
         """Probe one server at once."""
         with self._lock:
-            known = self._probers.get(server)
-        if known is not None:
-            known[1].wake()
+            entry = self._probers.get(server)
+        if entry is not None:
+            entry[1].wake()
 
     def unload(self) -> None:
         """Stop all probers."""
@@ -110,7 +111,7 @@
         for prober in probers:
             prober.unload()
 
-    def _follow(self, view: ProxyView) -> None:
+    def _update_probers(self, view: ProxyView) -> None:
         stopped = []
         with self._lock:
             for name, (server, prober) in list(self._probers.items()):
--- a/packages/proxy/src/dogwoodspool_proxy/pruning.py
+++ b/packages/proxy/src/dogwoodspool_proxy/pruning.py
@@ -1,4 +1,4 @@
-"""Prune the rows of old request ids."""
+"""Removal of the rows of old request ids."""
 
 import random
 
@@ -19,8 +19,8 @@
 class RequestPruner(Coordinator):
     """Delete rows of request ids that are older than their retention.
 
-    A resend after the retention would run again, so callers must not resend for
-    longer than that; ``docs/OPERATIONS.md`` says so.
+    A request sent again after the retention would run a second time, so callers must
+    not resend for longer than that (see ``docs/OPERATIONS.md``).
     """
 
     def __init__(
@@ -34,13 +34,13 @@
         self._random = random.Random()
 
     def step(self) -> float:
-        """Prune every group that this proxy may write to."""
+        """Prune every group for which this proxy holds a grant."""
         if not self._has_begun:
             self._has_begun = True
             return PRUNE_FIRST_SECONDS
         for group in list(self._views.view.groups):
             self._prune(group)
-        # Proxies that started together must not prune together.
+        # The random part keeps proxies that started together from pruning together.
         return PRUNE_INTERVAL_SECONDS * (1 + self._random.random())
 
     def _prune(self, group: str) -> None:
@@ -60,7 +60,7 @@
                 )
                 log_event("requests_pruned", group=group, rows=result.affected_rows)
             except StatementFailedError as error:
-                # No request with an id was served yet, so there is no table.
+                # The table does not exist before the first request with an id.
                 log_event("prune_refused", level="DEBUG", group=group, error=error)
             except BackendError as error:
                 log_event("prune_failed", group=group, error=error)
--- a/packages/proxy/src/dogwoodspool_proxy/surroundings.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reachability.py
@@ -1,4 +1,4 @@
-"""What a proxy reaches of the groups that it serves."""
+"""Reachability of the database groups that a proxy serves."""
 
 from dogwoodspool_following import ControlContact, ViewStore
 from dogwoodspool_routing import ServerTable
@@ -6,7 +6,7 @@
 from .grants import GrantTracker
 
 
-class ProxySurroundings:
+class ProxyReachability:
     """See ``Surroundings``."""
 
     def __init__(
@@ -17,10 +17,10 @@
         self._table = table
 
     def look_closer(self, control: ControlContact) -> None:
-        """Do nothing: renewals ask control and probes the servers, all the time."""
+        """Do nothing: renewals and probes already run continuously."""
 
     def lost_groups(self) -> int:
-        """Return how many groups cannot be written from here."""
+        """Return how many groups this proxy holds no valid grant for."""
         groups = self._views.view.groups
         return sum(self._grants.current(group) is None for group in groups)
 
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -1,4 +1,4 @@
-"""Reads: on a replica that has what the session needs, else on the primary."""
+"""Reads, served by a replica that is fresh enough or by the primary."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -41,7 +41,7 @@
     MAX_READ_ATTEMPTS,
     NEWER_SESSION_RETRY_AFTER_MS,
     NO_PRIMARY_RETRY_AFTER_MS,
-    READ_ATTEMPT_SHARE,
+    READ_ATTEMPT_FRACTION,
     RESULT_STALL_ROWS,
     RESULT_STALL_SECONDS,
 )
@@ -51,13 +51,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TryAnother:
-    """A server did not serve the read; another may.
+class TryNextServer:
+    """The result of an attempt on a server that did not serve the read.
 
     Attributes:
-        server: name of the server that is left out from now on.
-        answer: what the caller gets where no other server is left.
-        is_retry: the server failed, so that going on spends the retry budget.
+        server: name of the server, which further attempts exclude.
+        answer: the caller's answer if no other server is available.
+        is_retry: whether the server failed, so that the next attempt is a retry and
+            uses the retry budget.
     """
 
     server: str
@@ -66,9 +67,9 @@
 
 
 class ReadPath:
-    """Serve plain reads.
+    """Serve reads outside of transactions.
 
-    A read changes nothing, so it moves to another server when one fails, as far
+    A read changes nothing, so it is retried on another server when one fails, as far
     as the retry budget allows.
     """
 
@@ -98,17 +99,17 @@
         """Serve one read."""
         max_age_ms = request.properties.max_age_ms
         excluded: set[str] = set()
-        answer: Answer = unknown("no server was tried")
+        answer: Answer = unknown("no server was available")
         for number in range(MAX_READ_ATTEMPTS):
-            until = self._attempt_deadline(number, deadline)
-            match self._open_once(caller, max_age_ms, until, excluded):
+            attempt_deadline = self._attempt_deadline(number, deadline)
+            match self._open_once(caller, max_age_ms, attempt_deadline, excluded):
                 case HeldConnection() as held:
-                    attempt = self._execute(held, request.sql, until)
+                    attempt = self._execute(held, request.sql, attempt_deadline)
                 case ErrorAnswer() as refusal:
                     return answer if excluded else refusal
-                case TryAnother() as attempt:
+                case TryNextServer() as attempt:
                     pass
-            if not isinstance(attempt, TryAnother):
+            if not isinstance(attempt, TryNextServer):
                 return attempt
             answer = attempt.answer
             excluded.add(attempt.server)
@@ -117,30 +118,31 @@
         return answer
 
     def _attempt_deadline(self, number: int, deadline: float) -> float:
-        """Bound the first attempt, so that time is left for another server.
+        """Return the attempt's deadline; the first leaves time for another server.
 
-        A connection that went silent shows only by the missing answer. Waiting
-        for it until the caller's deadline would leave none to ask elsewhere. The
-        price is a read that needs more than this share of its deadline.
+        A connection that has gone silent is noticed only by the missing answer.
+        Waiting for it until the caller's deadline would leave no time to try another
+        server. The cost: a read that needs more than this fraction of its deadline
+        is cut short on its first attempt.
         """
         if number > 0:
             return deadline
         now = self._clock.now()
-        return now + (deadline - now) * READ_ATTEMPT_SHARE
+        return now + (deadline - now) * READ_ATTEMPT_FRACTION
 
     def open(
         self, caller: CallerState, max_age_ms: int | None, deadline: float
     ) -> Result[HeldConnection, ErrorAnswer]:
-        """Take a connection to a server that has what the session needs."""
+        """Open a connection to a server that is fresh enough for the session."""
         excluded: set[str] = set()
-        answer = refused("no server was tried", NO_PRIMARY_RETRY_AFTER_MS)
+        answer = refused("no server was available", NO_PRIMARY_RETRY_AFTER_MS)
         for _attempt in range(MAX_READ_ATTEMPTS):
             match self._open_once(caller, max_age_ms, deadline, excluded):
                 case HeldConnection() as held:
                     return Ok(held)
                 case ErrorAnswer() as refusal:
                     return Error(answer if excluded else refusal)
-                case TryAnother() as attempt:
+                case TryNextServer() as attempt:
                     answer = attempt.answer
                     excluded.add(attempt.server)
         return Error(answer)
@@ -151,10 +153,10 @@
         max_age_ms: int | None,
         deadline: float,
         excluded: set[str],
-    ) -> HeldConnection | TryAnother | ErrorAnswer:
+    ) -> HeldConnection | TryNextServer | ErrorAnswer:
         state = self._views.view.groups.get(caller.group)
         if state is None:
-            message = f"database group {caller.group} is not known yet"
+            message = f"database group {caller.group} is not in the view yet"
             return no_primary(message, NO_PRIMARY_RETRY_AFTER_MS)
         needed = self._need(caller, state, max_age_ms)
         if needed.is_error():
@@ -188,7 +190,7 @@
                 "begin a new session"
             )
             return Error(not_run(ER_SESSION_REFUSED, message))
-        message = "this proxy does not know the session's newer term yet"
+        message = "the session has a newer term than this proxy's view"
         return Error(no_primary(message, NEWER_SESSION_RETRY_AFTER_MS))
 
     def _open_chosen(
@@ -198,20 +200,20 @@
         need: ReadNeed,
         choice: ReadChoice,
         deadline: float,
-    ) -> HeldConnection | TryAnother | ErrorAnswer:
+    ) -> HeldConnection | TryNextServer | ErrorAnswer:
         priority = Priority.READ_PRIMARY if choice.is_primary else Priority.READ
         opened = self._access.open(choice.server, deadline, priority)
         if opened.is_error():
-            return TryAnother(choice.server.name, opened.error, is_retry=False)
+            return TryNextServer(choice.server.name, opened.error, is_retry=False)
         held = opened.ok
         try:
             is_fresh = self._is_fresh(caller, state, need, choice, held, deadline)
         except BackendError as error:
             held.finish(False)
             self._access.report_failure(choice.server, error)
-            message = f"{choice.server.name} gave no status: {error}"
+            message = f"status query on {choice.server.name} failed: {error}"
             answer = refused(message, NO_PRIMARY_RETRY_AFTER_MS)
-            return TryAnother(choice.server.name, answer, is_retry=True)
+            return TryNextServer(choice.server.name, answer, is_retry=True)
         if is_fresh:
             self._counters.read_served(caller.group, choice.is_primary)
             return held
@@ -220,7 +222,7 @@
             f"{choice.server.name} does not have the session's writes yet",
             NO_PRIMARY_RETRY_AFTER_MS,
         )
-        return TryAnother(choice.server.name, answer, is_retry=False)
+        return TryNextServer(choice.server.name, answer, is_retry=False)
 
     def _is_fresh(
         self,
@@ -232,7 +234,7 @@
         deadline: float,
     ) -> bool:
         if need.needs_primary:
-            return self._establish(caller, state, held, deadline)
+            return self._resolve_session(caller, state, held, deadline)
         if not choice.must_check_status:
             return True
         asked_at = self._clock.now()
@@ -254,17 +256,17 @@
         elapsed = self._clock.now() - asked_at + unconfirmed
         return satisfies(status, need, state, elapsed * MILLISECONDS)
 
-    def _establish(
+    def _resolve_session(
         self,
         caller: CallerState,
         state: GroupState,
         held: HeldConnection,
         deadline: float,
     ) -> bool:
-        """Make an unknown session known by the primary's position.
+        """Set the position of a session with unknown earlier writes from the primary.
 
-        All its earlier writes were acknowledged before, so the primary's
-        position, asked now and under a valid grant, is past each of them.
+        All its earlier writes were acknowledged before, so the primary's position,
+        queried now and under a valid grant, is past each of them.
         """
         status = held.connection.status(deadline - self._clock.now())
         grant = self._grants.current(state.name)
@@ -277,7 +279,7 @@
 
     def _execute(
         self, held: HeldConnection, sql: str, deadline: float
-    ) -> Answer | TryAnother:
+    ) -> Answer | TryNextServer:
         name = held.server.name
         try:
             result = held.execute(sql, deadline)
@@ -291,36 +293,40 @@
             held.finish(False)
             log_event("read_moved", level="DEBUG", server=name, error=error)
             self._access.report_failure(held.server, error)
-            return TryAnother(name, unknown(f"{name} did not answer"), is_retry=True)
+            return TryNextServer(name, unknown(f"{name} did not answer"), is_retry=True)
         self._budget.note_served()
         return rows_answer(held, result)
 
 
 def rows_answer(held: HeldConnection, result: StatementResult) -> RowsAnswer:
-    """Hand a result on while it arrives; the connection is finished at its end."""
+    """Stream a result to the caller and finish the connection at its end."""
 
     def finish(is_complete: bool) -> None:
         if not is_complete:
             result.close()
         held.finish(result.is_complete)
 
-    return RowsAnswer(answer_columns(result), unhurried_rows(held, result), finish)
+    return RowsAnswer(
+        answer_columns(result), rows_with_stall_timeout(held, result), finish
+    )
 
 
-def unhurried_rows(held: HeldConnection, result: StatementResult) -> Iterator[Row]:
-    """Give a result's rows, bounding the wait for the next ones only.
+def rows_with_stall_timeout(
+    held: HeldConnection, result: StatementResult
+) -> Iterator[Row]:
+    """Yield a result's rows, bounding only the wait for each next batch.
 
-    The statement's deadline is met with its first rows. A long result then takes
-    as long as its caller takes to read it.
+    The statement's deadline applies up to its first rows. A long result may then take
+    as long as its caller needs to read it.
     """
     rows = result.rows
-    while part := list(islice(rows, RESULT_STALL_ROWS)):
-        yield from part
+    while batch := list(islice(rows, RESULT_STALL_ROWS)):
+        yield from batch
         held.connection.allow_more(RESULT_STALL_SECONDS)
 
 
 def answer_columns(result: StatementResult) -> tuple[AnswerColumn, ...]:
-    """Describe a result's columns for the caller."""
+    """Convert a result's columns to those of the answer."""
     return tuple(
         AnswerColumn(column.name, column.type_code, column.charset)
         for column in result.columns
--- a/packages/proxy/src/dogwoodspool_proxy/renew.py
+++ b/packages/proxy/src/dogwoodspool_proxy/renew.py
@@ -1,4 +1,4 @@
-"""Renew grants and shares, and report what this proxy sees."""
+"""Renew grants and connection shares, and report observations to control."""
 
 from collections.abc import Callable
 
@@ -32,7 +32,7 @@
 
 
 class RenewCoordinator(Coordinator):
-    """Exchange one renewal after another with the control leader."""
+    """Send periodic renewals to the control leader."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
 
     @property
     def seconds_since_renewal(self) -> float | None:
-        """Seconds since the last good renewal; None before the first."""
+        """Seconds since the last successful renewal; None before the first."""
         if self._renewed_at is None:
             return None
         return self._clock.now() - self._renewed_at
@@ -91,8 +91,8 @@
     def _interval(self) -> float:
         """Return the seconds to the next renewal.
 
-        While a server does not answer, control needs this proxy's word sooner:
-        the time to the next renewal is part of every failover.
+        While a server does not answer, control needs this proxy's observations
+        sooner: the time to the next renewal adds to the duration of every failover.
         """
         interval = self._views.settings(None).renew_interval_ms / MILLISECONDS
         if any(seen.unreachable_ms > 0 for seen in self._observations()):
@@ -118,7 +118,7 @@
     def _adopt(self, response: RenewResponse, sent_at: float) -> None:
         lease_seconds = response.lease_ms / MILLISECONDS
         self._grants.renew(response.grants, response.withdrawn, sent_at, lease_seconds)
-        # Expiry is looked for before each renewal, and one may hang until its timeout.
+        # Expiry is checked before each renewal, and one may block until its timeout.
         margin = min(SHARE_EXPIRY_MARGIN_SECONDS, lease_seconds / 2)
         until = sent_at + lease_seconds - margin
         self._registry.grant_shares(response.connection_shares, until)
--- a/packages/proxy/src/dogwoodspool_proxy/routers.py
+++ b/packages/proxy/src/dogwoodspool_proxy/routers.py
@@ -1,4 +1,4 @@
-"""One read router for each database group, with the group's own settings."""
+"""Read routers for each database group."""
 
 import threading
 
@@ -7,7 +7,7 @@
 
 
 class GroupRouters:
-    """Give each group's router with its settings in force."""
+    """Provide a read router for each group, with the settings in force there."""
 
     def __init__(self, views: ViewStore, table: ServerTable) -> None:
         self._views = views
@@ -16,13 +16,13 @@
         self._routers: dict[str, tuple[RouterSettings, ReadRouter]] = {}
 
     def router(self, group: str) -> ReadRouter:
-        """Return a group's router."""
-        wanted = RouterSettings(self._views.settings(group).replica_wait_ms)
+        """Return a group's router, updated to the settings in force."""
+        current = RouterSettings(self._views.settings(group).replica_wait_ms)
         with self._lock:
             settings, router = self._routers.get(group, (None, None))
             if router is None:
-                router = ReadRouter(self._table, wanted)
-            elif settings != wanted:
-                router.change(wanted)
-            self._routers[group] = wanted, router
+                router = ReadRouter(self._table, current)
+            elif settings != current:
+                router.change(current)
+            self._routers[group] = current, router
             return router
--- a/packages/proxy/src/dogwoodspool_proxy/sessions.py
+++ b/packages/proxy/src/dogwoodspool_proxy/sessions.py
@@ -1,4 +1,4 @@
-"""The caller connections of this proxy."""
+"""Sessions of the callers that are connected to this proxy."""
 
 from dogwoodspool_common import Clock
 from dogwoodspool_common.counters import Counters
--- a/packages/proxy/src/dogwoodspool_proxy/transactions.py
+++ b/packages/proxy/src/dogwoodspool_proxy/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions: one connection from begin to end, for one caller."""
+"""Transactions, each on one backend connection from begin to end."""
 
 from dogwoodspool_backend import (
     BackendError,
@@ -26,7 +26,7 @@
 from .errors import NothingSentError
 from .grants import GrantTracker
 from .models import WritePermit
-from .reads import ReadPath, answer_columns, unhurried_rows
+from .reads import ReadPath, answer_columns, rows_with_stall_timeout
 from .writes import WritePath
 
 
@@ -48,7 +48,7 @@
         self._clock = clock
 
     def begin(self, caller: CallerState, is_read_only: bool, deadline: float) -> Answer:
-        """Open a transaction; one that is open is committed first, as in MySQL."""
+        """Begin a transaction; an open one is committed first, as in MySQL."""
         if caller.transaction is not None:
             answer = self.commit(caller, deadline)
             if isinstance(answer, ErrorAnswer):
@@ -64,16 +64,16 @@
         assert transaction is not None
         if transaction.has_failed:
             self.end(caller)
-            return rolled_back("the transaction was rolled back; begin it again")
+            return rolled_back("the transaction was rolled back; restart it")
         opened = self._connection(caller, transaction, request, deadline)
         if opened.is_error():
             # A refused statement leaves the transaction open, as any failed
-            # statement does: sent again, it must not run outside of it.
+            # statement does: when sent again, it must not run outside of it.
             return opened.error
         return self._execute(caller, transaction, opened.ok, request, deadline)
 
     def commit(self, caller: CallerState, deadline: float) -> Answer:
-        """Commit the open transaction and acknowledge it once that is safe."""
+        """Commit the open transaction and acknowledge it if its grant is valid."""
         transaction = caller.transaction
         if transaction is None:
             return DoneAnswer()
@@ -83,7 +83,7 @@
             self.end(caller)
 
     def rollback(self, caller: CallerState, deadline: float) -> Answer:
-        """Undo the open transaction."""
+        """Roll back the open transaction."""
         transaction = caller.transaction
         if transaction is None or transaction.held is None:
             self.end(caller)
@@ -91,7 +91,7 @@
         try:
             transaction.held.execute("ROLLBACK", deadline)
         except (BackendError, NothingSentError) as error:
-            # The connection is closed below, and with it the transaction ends.
+            # The connection is closed below, which rolls the transaction back.
             log_event("rollback_by_close", level="DEBUG", error=error)
             transaction.has_failed = True
         finally:
@@ -99,10 +99,10 @@
         return DoneAnswer()
 
     def end(self, caller: CallerState) -> None:
-        """Give back what the transaction holds.
+        """Release the transaction's connection and write permit.
 
         A connection that is still inside the transaction is closed, so that no
-        other caller's statement can ever run in it.
+        other caller's statement can run in it.
         """
         transaction = caller.transaction
         if transaction is None:
@@ -116,7 +116,7 @@
             self._grants.end_write(transaction.permit)
 
     def expire(self, caller: CallerState) -> None:
-        """Undo a transaction that is open for too long."""
+        """Roll back a transaction that has been open for too long."""
         transaction = caller.transaction
         if transaction is None or transaction.held is None or transaction.has_failed:
             return
@@ -184,7 +184,7 @@
         try:
             result = held.execute(request.sql, deadline)
         except StatementFailedError as error:
-            # A deadlock, for one, has undone the whole transaction already.
+            # Some errors, such as a deadlock, roll back the whole transaction.
             if not held.connection.in_transaction:
                 transaction.has_failed = True
             held.pause()
@@ -195,9 +195,11 @@
             transaction.has_failed = True
             log_event("transaction_lost", server=held.server.name, error=error)
             if request.classified.kind is StatementKind.DDL:
-                return unknown("the server did not answer a statement that commits")
-            # Without a commit the server undoes it when the connection ends.
-            return rolled_back("the server was lost; the transaction is undone")
+                return unknown(
+                    "the server did not answer a statement that commits implicitly"
+                )
+            # Without a commit the server rolls back when the connection ends.
+            return rolled_back("the server was lost; the transaction is rolled back")
         if result.is_resultset:
             return _rows_in_transaction(transaction, held, result)
         held.pause()
@@ -208,18 +210,18 @@
         self, caller: CallerState, transaction: Transaction, deadline: float
     ) -> Answer:
         if transaction.has_failed:
-            return rolled_back("the transaction was rolled back; begin it again")
+            return rolled_back("the transaction was rolled back; restart it")
         held, permit = transaction.held, transaction.permit
         if held is None:
             return DoneAnswer()
         if permit is not None and not self._grants.is_valid(permit):
-            return rolled_back("the primary was replaced; the transaction is undone")
+            return rolled_back("the grant has ended; the transaction is rolled back")
         try:
             held.execute("COMMIT", deadline)
         except StatementFailedError as error:
             return failed(error)
         except NothingSentError as error:
-            return rolled_back(f"{error}; the transaction is undone")
+            return rolled_back(f"{error}; the transaction is rolled back")
         except BackendError as error:
             log_event("commit_unknown", server=held.server.name, error=error)
             transaction.has_failed = True
@@ -238,7 +240,7 @@
             position = None
         held.finish(held.connection.is_open)
         if position is None:
-            return unknown("the primary could not confirm its term after the commit")
+            return unknown("the primary's term was not confirmed after the commit")
         return self._writes.confirm(caller, permit, position) or DoneAnswer()
 
 
@@ -254,5 +256,5 @@
             transaction.has_failed = True
         transaction.held.pause()
 
-    rows = unhurried_rows(held, result)
+    rows = rows_with_stall_timeout(held, result)
     return RowsAnswer(answer_columns(result), rows, finish)
--- a/packages/proxy/src/dogwoodspool_proxy/writes.py
+++ b/packages/proxy/src/dogwoodspool_proxy/writes.py
@@ -1,4 +1,4 @@
-"""Writes: on the primary, under a valid grant, acknowledged once that is safe."""
+"""Writes to the primary, acknowledged only under a valid grant."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -55,8 +55,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
-    """What the primary answered to a write."""
+class WriteResult:
+    """The primary's result of a write."""
 
     affected_rows: int
     last_insert_id: int
@@ -64,14 +64,14 @@
     rows: Rows = ()
 
     def answer(self) -> Answer:
-        """Return it as the caller's answer."""
+        """Return the answer for the caller."""
         if self.columns:
             return RowsAnswer(self.columns, iter(self.rows), lambda _complete: None)
         return DoneAnswer(self.affected_rows, self.last_insert_id)
 
 
 class WritePath:
-    """Serve writes that commit by themselves."""
+    """Serve writes outside of transactions."""
 
     def __init__(
         self,
@@ -94,8 +94,8 @@
     ) -> Answer:
         """Serve one write.
 
-        Only an idempotent write whose outcome is unknown is sent again, as far as
-        deadline and retry budget allow.
+        If the outcome is unknown, an idempotent write is sent again, as far as the
+        deadline and the retry budget allow. No other write is repeated.
         """
         answer = self._run_once(caller, request, deadline)
         while (
@@ -106,7 +106,7 @@
         ):
             repeated = self._run_once(caller, request, deadline)
             if _has_outcome(repeated, Outcome.NOT_RUN):
-                # The repetition did not run, but the first may have.
+                # The repetition did not run, but the first attempt may have.
                 return answer
             answer = repeated
         return answer
@@ -114,10 +114,10 @@
     def open(
         self, permit: WritePermit, deadline: float
     ) -> Result[HeldConnection, ErrorAnswer]:
-        """Take a connection to the permit's primary."""
+        """Open a connection to the permit's primary."""
         server = self._views.view.servers.get(permit.primary)
         if server is None:
-            message = f"{permit.primary} is not known yet"
+            message = f"primary {permit.primary} is not in the view yet"
             return Error(no_primary(message, NO_PRIMARY_RETRY_AFTER_MS))
         opened = self._access.open(server, deadline, Priority.WRITE)
         if opened.is_error() or self._grants.is_valid(permit):
@@ -126,15 +126,15 @@
         return Error(self.no_grant(permit.group))
 
     def no_grant(self, group: str) -> ErrorAnswer:
-        """Answer a write for which there is no grant now."""
-        message = f"no primary of {group} is confirmed for writes"
+        """Return the answer to a write for which no grant is valid."""
+        message = f"no valid grant for the primary of {group}"
         return no_primary(message, NO_GRANT_RETRY_AFTER_MS)
 
     def position(self, held: HeldConnection, permit: WritePermit) -> Position | None:
-        """Return a position that has the write; None when the server was replaced.
+        """Return a position that includes the write; None if the server was replaced.
 
         Raises:
-            BackendError: the server gave no status.
+            BackendError: the server's status could not be queried.
         """
         status = held.connection.status(STATUS_TIMEOUT_SECONDS)
         if status.role is not Role.PRIMARY or status.position.term != permit.term:
@@ -144,15 +144,15 @@
     def confirm(
         self, caller: CallerState, permit: WritePermit, position: Position
     ) -> ErrorAnswer | None:
-        """Make an answered write an acknowledged one, or say why it is not."""
+        """Acknowledge an answered write, or return why that is not possible."""
         settings = self._views.settings(permit.group)
         if settings.write_ack is WriteAck.REPLICA:
             timeout = settings.write_ack_timeout_ms / MILLISECONDS
             with span("write.replica_ack", group=permit.group):
                 if not self._acks.wait(permit.group, position, timeout):
-                    return unknown("the write has reached no replica in time")
+                    return unknown("no replica confirmed the write in time")
         if not self._grants.acknowledge(permit, position):
-            return unknown("the primary was replaced before it could be confirmed")
+            return unknown("the grant ended before the write could be acknowledged")
         caller.session.advance(permit.group, position)
         return None
 
@@ -178,16 +178,16 @@
         held: HeldConnection,
         deadline: float,
     ) -> Answer:
-        is_good = False
+        is_healthy = False
         try:
             written = self._execute(held, request, deadline)
-            is_good = True
+            is_healthy = True
             position = self._position_or_none(held, permit)
         except StatementFailedError as error:
-            is_good = True
+            is_healthy = True
             return self._refused_by_database(error)
         except RequestIdReusedError as error:
-            is_good = True
+            is_healthy = True
             return failed_with(ER_WRONG_ARGUMENTS, str(error))
         except (RequestNotRunError, ConnectFailedError, NothingSentError) as error:
             return refused(str(error), CONNECT_RETRY_AFTER_MS)
@@ -196,9 +196,9 @@
             self._access.report_failure(held.server, error)
             return unknown(f"{held.server.name} did not answer the write")
         finally:
-            held.finish(is_good)
+            held.finish(is_healthy)
         if position is None:
-            return unknown("the primary could not confirm its term after the write")
+            return unknown("the primary's term was not confirmed after the write")
         refusal = self.confirm(caller, permit, position)
         if refusal is not None:
             return refusal
@@ -208,10 +208,10 @@
 
     def _execute(
         self, held: HeldConnection, request: StatementRequest, deadline: float
-    ) -> Written:
+    ) -> WriteResult:
         request_id = request.properties.request_id
-        # A statement that changes the schema commits by itself, so it cannot
-        # stand in one transaction with its request's row.
+        # A statement that changes the schema commits implicitly, so it cannot share a
+        # transaction with the row of its request id.
         if request_id is not None and request.classified.kind is StatementKind.WRITE:
             runner = RequestRunner(
                 held.connection, lambda: deadline - self._clock.now()
@@ -219,14 +219,16 @@
             outcome = runner.run(
                 RequestIdentity.of(request_id, request.sql), request.sql
             )
-            return Written(outcome.affected_rows, outcome.last_insert_id)
+            return WriteResult(outcome.affected_rows, outcome.last_insert_id)
         result = held.execute(request.sql, deadline)
         rows = list(islice(result.rows, MAX_WRITE_RESULT_ROWS + 1))
         if len(rows) > MAX_WRITE_RESULT_ROWS:
             result.close()
-            raise OutcomeUnknownError("the write's result has too many rows")
+            raise OutcomeUnknownError(
+                f"the write's result has more than {MAX_WRITE_RESULT_ROWS} rows"
+            )
         columns = answer_columns(result)
-        return Written(result.affected_rows, result.last_insert_id, columns, rows)
+        return WriteResult(result.affected_rows, result.last_insert_id, columns, rows)
 
     def _position_or_none(
         self, held: HeldConnection, permit: WritePermit
@@ -239,8 +241,8 @@
 
     def _refused_by_database(self, error: StatementFailedError) -> ErrorAnswer:
         if error.number in ER_READ_ONLY:
-            # A fenced or demoted primary refuses before it runs anything.
-            message = f"the server refuses writes: {error.message}"
+            # A fenced or demoted primary refuses the statement before running it.
+            message = f"the server is read-only: {error.message}"
             return no_primary(message, NO_PRIMARY_RETRY_AFTER_MS)
         return failed(error)
 
--- a/tests/proxy/test_access.py
+++ b/tests/proxy/test_access.py
@@ -1,4 +1,4 @@
-"""Tests of places and connections for statements."""
+"""Tests of admission and connections for statements."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class BackendAccessTests(unittest.TestCase):
-    """A proxy that holds no share of a server's connections."""
+    """Tests of a proxy that holds no share of a server's connections."""
 
     def setUp(self) -> None:
         self.clock = ImpatientClock()
@@ -38,8 +38,12 @@
         )
         self.access = BackendAccess(self.registry, table, self.clock)
 
-    def test_waiting_for_a_connection_in_vain_does_not_lower_the_limit(self) -> None:
-        """Guard against one statement at a time once the proxy has connections."""
+    def test_connection_timeout_does_not_lower_the_admission_limit(self) -> None:
+        """A timeout while waiting for a connection says nothing about the server.
+
+        If it lowered the admission limit, the proxy would run only one statement at a
+        time once it gets connections.
+        """
         for _ in range(50):
             deadline = self.clock.now() + WAIT_SECONDS
             self.assertTrue(
--- a/tests/proxy/test_backends.py
+++ b/tests/proxy/test_backends.py
@@ -1,4 +1,4 @@
-"""Tests of the shares of connections that a proxy holds."""
+"""Tests of the connection shares that a proxy holds."""
 
 import unittest
 
@@ -12,14 +12,14 @@
 
 
 def server(connections: int) -> BackendServer:
-    """Return a backend server of some connections."""
+    """Return a backend server that accepts a number of connections."""
     return BackendServer(
         "s1", "orders", "fd-a", Address("127.0.0.1", 1), 3, connections
     )
 
 
 class ShareTests(unittest.TestCase):
-    """A proxy never opens more connections than control counts it for."""
+    """A proxy never opens more connections than control has allotted to it."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -48,21 +48,22 @@
     def limit(self, connections: int) -> int:
         return self.registry.backend(server(connections)).pool.limit
 
-    def test_a_proxy_that_is_not_registered_opens_none(self) -> None:
+    def test_unregistered_proxy_opens_no_connections(self) -> None:
         self.adopt(20)
         self.assertEqual(self.limit(20), 0)
         self.adopt(20, "p1")
         self.assertEqual(self.limit(20), 1)
 
-    def test_base_shares_fit_into_a_small_server(self) -> None:
-        # A server takes 8 connections, fewer than there are proxies. Each proxy
-        # that went by the setting alone held one, and the ninth was refused.
+    def test_base_shares_do_not_exceed_a_small_server(self) -> None:
+        # A server accepts 8 connections, fewer than there are proxies. If each proxy
+        # opened the one connection that the setting alone allows, the server would
+        # refuse the ninth.
         self.adopt(8, "p1")
         self.assertEqual(self.limit(8), 0)
 
-    def test_leased_connections_end_with_their_lease(self) -> None:
+    def test_leased_shares_expire_with_their_lease(self) -> None:
         # A partition cuts this proxy off. Control leases the same connections to
-        # others once the lease has run out here.
+        # other proxies once the lease has expired here.
         self.adopt(20, "p1")
         self.assertEqual(self.limit(20), 1)
         self.registry.grant_shares({"s1": 4}, self.clock.now() + LEASE)
