--- a/packages/following/src/dogwoodspool_following/__init__.py
+++ b/packages/following/src/dogwoodspool_following/__init__.py
@@ -4,7 +4,7 @@
 from .coordinator import Coordinator
 from .open_sessions import OpenSessions
 from .rotation import Reach, Rotation, RotationPhase
-from .rotation_watch import Callers, RotationCoordinator, Surroundings
+from .rotation_watch import Callers, ReachabilitySource, RotationCoordinator
 from .view import ProxyView, ViewListener, ViewStore
 from .watch import WatchCoordinator
 
@@ -16,10 +16,10 @@
     "OpenSessions",
     "ProxyView",
     "Reach",
+    "ReachabilitySource",
     "Rotation",
     "RotationCoordinator",
     "RotationPhase",
-    "Surroundings",
     "ViewListener",
     "ViewStore",
     "WatchCoordinator",
--- a/packages/following/src/dogwoodspool_following/rotation_watch.py
+++ b/packages/following/src/dogwoodspool_following/rotation_watch.py
@@ -18,10 +18,10 @@
         ...
 
 
-class Surroundings(Protocol):
+class ReachabilitySource(Protocol):
     """What else a process reaches; looked at while control is in question."""
 
-    def look_closer(self, control: ControlContact) -> None:
+    def probe_actively(self, control: ControlContact) -> None:
         """Ask for what the requests of few callers would show too late."""
         ...
 
@@ -46,7 +46,7 @@
         self,
         rotation: Rotation,
         peers: ControlPeers,
-        surroundings: Surroundings,
+        surroundings: ReachabilitySource,
         clock: Clock,
     ) -> None:
         super().__init__("rotation", clock)
@@ -78,7 +78,7 @@
         if not control.is_in_question:
             # The usual case, ten times a second: nothing is looked for among servers.
             return Reach(control)
-        self._surroundings.look_closer(control)
+        self._surroundings.probe_actively(control)
         return Reach(
             control,
             self._surroundings.lost_groups(),
--- a/packages/pooler/src/dogwoodspool_pooler/surroundings.py
+++ b/packages/pooler/src/dogwoodspool_pooler/surroundings.py
@@ -10,7 +10,7 @@
 
 
 class GroupSurroundings:
-    """See ``Surroundings``."""
+    """See ``ReachabilitySource``."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._recovery = recovery
         self._reports = reports
 
-    def look_closer(self, control: ControlContact) -> None:
+    def probe_actively(self, control: ControlContact) -> None:
         """Ask control, and the primaries where a majority of control is silent.
 
         A proxy with few callers would notice a cut only by their next requests, and one
--- a/packages/proxy/src/dogwoodspool_proxy/reachability.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reachability.py
@@ -7,7 +7,7 @@
 
 
 class ProxyReachability:
-    """See ``Surroundings``."""
+    """See ``ReachabilitySource``."""
 
     def __init__(
         self, views: ViewStore, grants: GrantTracker, table: ServerTable
@@ -16,7 +16,7 @@
         self._grants = grants
         self._table = table
 
-    def look_closer(self, control: ControlContact) -> None:
+    def probe_actively(self, control: ControlContact) -> None:
         """Do nothing: renewals and probes already run continuously."""
 
     def lost_groups(self) -> int:
--- a/tests/following/test_rotation_watch.py
+++ b/tests/following/test_rotation_watch.py
@@ -31,7 +31,7 @@
     def contact(self) -> ControlContact:
         return self.reach.control
 
-    def look_closer(self, control: ControlContact) -> None:
+    def probe_actively(self, control: ControlContact) -> None:
         self.looked_closer += 1
 
     def lost_groups(self) -> int:
