--- a/packages/failover/src/dogwoodspool_failover/joining.py
+++ b/packages/failover/src/dogwoodspool_failover/joining.py
@@ -60,13 +60,13 @@
             )
         except PeerRefusedError as error:
             log_event("join_refused", address=address, reason=error)
-            self._peers.note_refusal(address, error)
+            self._peers.record_refusal(address, error)
         except HttpError as error:
             log_event("join_failed", address=address, reason=error)
-            self._peers.note_failure(address)
+            self._peers.record_failure(address)
         else:
             log_event("joined", address=address, node=self._request.node)
-            self._peers.note_led(address)
+            self._peers.record_leader_answer(address)
         return JOIN_RETRY_SECONDS
 
     def _is_known(self) -> bool:
--- a/packages/following/src/dogwoodspool_following/control_peers.py
+++ b/packages/following/src/dogwoodspool_following/control_peers.py
@@ -128,7 +128,7 @@
             self._turn = 0
             self._successes = 0
 
-    def note_leader(self, text: str | None) -> None:
+    def record_leader_hint(self, text: str | None) -> None:
         """Take over what a control process said of the leader."""
         if not text:
             return
@@ -141,21 +141,21 @@
             if self._tried.get(leader, True):
                 self._follow(leader)
 
-    def note_led(self, address: Address) -> None:
+    def record_leader_answer(self, address: Address) -> None:
         """Take in that a process answered as the leader."""
         with self._lock:
             self._tried.clear()
             self._note_current()
             self._follow(address)
 
-    def note_refusal(self, address: Address, error: PeerRefusedError) -> None:
+    def record_refusal(self, address: Address, error: PeerRefusedError) -> None:
         """Turn to the next process after one refused, which may name the leader."""
         self._note_tried(address, has_answered=True)
         self._note_heard(address)
         if error.code == CODE_NOT_LEADER:
-            self.note_leader(error.detail)
+            self.record_leader_hint(error.detail)
 
-    def note_failure(self, address: Address) -> None:
+    def record_failure(self, address: Address) -> None:
         """Turn to the next process after one gave no answer."""
         self._note_tried(address, has_answered=False)
         with self._lock:
@@ -164,14 +164,14 @@
             if self._lacks_majority():
                 self._is_in_touch = False
 
-    def note_behind(self, address: Address) -> None:
+    def record_behind(self, address: Address) -> None:
         """Turn to the next process after one answered that does not hear the leader."""
         self._note_tried(address, has_answered=False)
         self._note_heard(address)
         with self._lock:
             self._is_behind = True
 
-    def note_success(self, address: Address) -> None:
+    def record_success(self, address: Address) -> None:
         """Return to the preferred process after some polls of another one."""
         with self._lock:
             self._tried.pop(address, None)
--- a/packages/following/src/dogwoodspool_following/watch.py
+++ b/packages/following/src/dogwoodspool_following/watch.py
@@ -64,24 +64,24 @@
             response = self._poll(address)
         except PeerRefusedError as error:
             self._log_failure(address, asked_at, error)
-            self._peers.note_refusal(address, error)
+            self._peers.record_refusal(address, error)
             return RETRY_PAUSE_SECONDS
         except (HttpError, ValidationError) as error:
             self._log_failure(address, asked_at, error)
-            self._peers.note_failure(address)
+            self._peers.record_failure(address)
             return RETRY_PAUSE_SECONDS
         # A cut-off process names a leader of long ago; the renewals know better.
         if not self._peers.has_leader:
-            self._peers.note_leader(response.leader)
+            self._peers.record_leader_hint(response.leader)
         if response.members:
             self._peers.adopt(response.members)
         if response.view is not None:
             self._views.adopt(response.view)
         if not response.is_current:
             log_event("watch_not_current", address=address)
-            self._peers.note_behind(address)
+            self._peers.record_behind(address)
             return RETRY_PAUSE_SECONDS
-        self._peers.note_success(address)
+        self._peers.record_success(address)
         if response.view is not None:
             return 0.0
         if response.retry_after_ms:
@@ -90,7 +90,7 @@
             # The leader has a newer version, yet this process waited in vain for
             # it: it is cut off from the others and does not know.
             log_event("watch_stale", address=address)
-            self._peers.note_behind(address)
+            self._peers.record_behind(address)
         return 0.0
 
     def _log_failure(self, address: Address, asked_at: float, error: Exception) -> None:
--- a/packages/pooler/src/dogwoodspool_pooler/reporting.py
+++ b/packages/pooler/src/dogwoodspool_pooler/reporting.py
@@ -124,12 +124,12 @@
                     REPORT_TIMEOUT,
                 )
             except PeerRefusedError as error:
-                self._peers.note_refusal(address, error)
+                self._peers.record_refusal(address, error)
             except HttpError as error:
                 log_rate_limited("report_failed", address=address, reason=error)
-                self._peers.note_failure(address)
+                self._peers.record_failure(address)
                 return False
             else:
-                self._peers.note_led(address)
+                self._peers.record_leader_answer(address)
                 return True
         return True
--- a/packages/proxy/src/dogwoodspool_proxy/renew.py
+++ b/packages/proxy/src/dogwoodspool_proxy/renew.py
@@ -78,13 +78,13 @@
         try:
             response = self._renew(address)
         except PeerRefusedError as error:
-            self._peers.note_refusal(address, error)
+            self._peers.record_refusal(address, error)
             return RETRY_PAUSE_SECONDS
         except (HttpError, ValidationError) as error:
             log_event("renewal_failed", level="DEBUG", address=address, error=error)
-            self._peers.note_failure(address)
+            self._peers.record_failure(address)
             return RETRY_PAUSE_SECONDS
-        self._peers.note_led(address)
+        self._peers.record_leader_answer(address)
         self._adopt(response, sent_at)
         return self._interval()
 
--- a/packages/sharing/src/dogwoodspool_sharing/presence.py
+++ b/packages/sharing/src/dogwoodspool_sharing/presence.py
@@ -66,13 +66,13 @@
             response = PresenceResponse.model_validate(answer)
         except PeerRefusedError as error:
             log_rate_limited("presence_refused", address=address, reason=error)
-            self._peers.note_refusal(address, error)
+            self._peers.record_refusal(address, error)
             return PRESENCE_RETRY_SECONDS
         except (HttpError, ValidationError) as error:
             log_rate_limited("presence_failed", address=address, reason=error)
-            self._peers.note_failure(address)
+            self._peers.record_failure(address)
             return PRESENCE_RETRY_SECONDS
-        self._peers.note_success(address)
+        self._peers.record_success(address)
         self._take(response)
         return response.next_ms / MILLISECONDS
 
--- a/tests/following/test_control_peers_load.py
+++ b/tests/following/test_control_peers_load.py
@@ -50,7 +50,7 @@
                 for peers in known:
                     peers.adopt(MEMBERS)
                     while peers.any() in {CONTROL[one] for one in lost}:
-                        peers.note_failure(peers.any())
+                        peers.record_failure(peers.any())
                 self.check_spread(known, len(CONTROL) - len(lost))
 
     def test_a_process_asks_its_own_failure_domain_first(self) -> None:
--- a/tests/following/test_watch.py
+++ b/tests/following/test_watch.py
@@ -114,5 +114,5 @@
         ]
         peers.adopt(members)
         self.assertEqual(str(peers.any()), "10.0.0.8:1")
-        peers.note_failure(peers.any())
+        peers.record_failure(peers.any())
         self.assertEqual(str(peers.any()), "10.0.0.7:1")
--- a/tests/pooler/test_reporting.py
+++ b/tests/pooler/test_reporting.py
@@ -64,7 +64,7 @@
         self.clock = ManualClock()
         self.control = FakeControl(self.clock)
         peers = ControlPeers((CUT_OFF, SECOND, THIRD))
-        peers.note_leader(str(CUT_OFF))
+        peers.record_leader_hint(str(CUT_OFF))
         stalls = StallBook(self.clock)
         stalls.begin("s1")
         self.clock.advance(1.0)
@@ -123,7 +123,7 @@
         self.control = FakeControl(self.clock)
         self.control.leader = SECOND
         self.peers = ControlPeers((SECOND, THIRD, CUT_OFF))
-        self.peers.note_led(SECOND)
+        self.peers.record_leader_answer(SECOND)
         self.reports = ReportCoordinator(
             "p1",
             "fd1",
@@ -156,7 +156,7 @@
     def test_it_is_asked_until_it_answers(self) -> None:
         self.control.frozen = SECOND
         self.control.leader = None
-        self.peers.note_failure(THIRD)
+        self.peers.record_failure(THIRD)
         self.reports.ask_control()
         for _ in range(6):
             self.clock.advance(self.reports.step())
