--- a/packages/following/src/dogwoodspool_following/rotation_watch.py
+++ b/packages/following/src/dogwoodspool_following/rotation_watch.py
@@ -57,7 +57,7 @@
         self._out_since: float | None = None
         self._moved = 0
 
-    def follow(self, callers: Callers) -> None:
+    def set_callers(self, callers: Callers) -> None:
         """Move these callers; called before ``set_up``."""
         self._callers = callers
 
--- a/packages/pooler/src/dogwoodspool_pooler/runtime.py
+++ b/packages/pooler/src/dogwoodspool_pooler/runtime.py
@@ -147,7 +147,7 @@
 
     def move_callers(self, callers: Callers) -> None:
         """Close idle connections of these callers when they are served elsewhere."""
-        self._rotation_watch.follow(callers)
+        self._rotation_watch.set_callers(callers)
 
     def leave(self) -> None:
         """Take no more requests of other proxies."""
--- a/packages/proxy/src/dogwoodspool_proxy/app.py
+++ b/packages/proxy/src/dogwoodspool_proxy/app.py
@@ -75,7 +75,7 @@
             workers=settings.workers,
             max_callers=settings.max_callers,
         )
-        self._rotation_coordinator.follow(self._listener)
+        self._rotation_coordinator.set_callers(self._listener)
         self._build_http(signer)
 
     @property
--- a/tests/following/test_rotation_load.py
+++ b/tests/following/test_rotation_load.py
@@ -40,7 +40,7 @@
         self.rotation = Rotation(self.clock)
         self.fake = FakeReach()
         self.watch = coordinator(self.rotation, self.fake, self.clock)
-        self.watch.follow(self)
+        self.watch.set_callers(self)
 
     @property
     def is_in_rotation(self) -> bool:
--- a/tests/following/test_rotation_watch.py
+++ b/tests/following/test_rotation_watch.py
@@ -71,7 +71,7 @@
         self.fake = FakeReach()
         self.callers = FakeCallers(100)
         self.watch = coordinator(self.rotation, self.fake, self.clock)
-        self.watch.follow(self.callers)
+        self.watch.set_callers(self.callers)
 
     def step_for(self, seconds: float) -> None:
         for _ in range(round(seconds / LOOK_SECONDS) + 2):
