--- a/packages/following/src/dogwoodspool_following/__init__.py
+++ b/packages/following/src/dogwoodspool_following/__init__.py
@@ -1,10 +1,10 @@
-"""Follow the committed state of control from another process."""
+"""Tracking of the committed state of control from other processes."""
 
 from .control_peers import ControlContact, ControlPeers
 from .coordinator import Coordinator
 from .open_sessions import OpenSessions
-from .rotation import Reach, Rotation, RotationPhase
-from .rotation_watch import Callers, ReachabilitySource, RotationCoordinator
+from .rotation import Reachability, Rotation, RotationPhase
+from .rotation_coordinator import Callers, ReachabilitySource, RotationCoordinator
 from .view import ProxyView, ViewListener, ViewStore
 from .watch import WatchCoordinator
 
@@ -15,7 +15,7 @@
     "Coordinator",
     "OpenSessions",
     "ProxyView",
-    "Reach",
+    "Reachability",
     "ReachabilitySource",
     "Rotation",
     "RotationCoordinator",
--- a/packages/following/src/dogwoodspool_following/const.py
+++ b/packages/following/src/dogwoodspool_following/const.py
@@ -2,41 +2,46 @@
 
 from typing import Final
 
-# Short, since a poll to a cut-off process waits in vain for so long.
+# Kept short: a poll to a cut-off process waits for the whole time without a result.
 DEFAULT_WATCH_WAIT_MS: Final = 2_000
-# Time beyond the wait in which a control process must answer a poll: above a lost
-# packet's second transmission. Two silent processes in a row must not hide a change for
-# longer than the few seconds in which it has to be in force.
+# Time after the end of its wait within which a control process must answer a poll. It
+# allows for one retransmission of a lost packet. Two silent processes in a row must not
+# delay a change beyond the few seconds in which it has to be in force.
 WATCH_TIMEOUT_MARGIN: Final = 0.5
-# The same for the first view, which waits for a quorum besides and is whole.
+# The same for the first view, which also waits for a quorum and contains the whole
+# state.
 FIRST_VIEW_TIMEOUT_MARGIN: Final = 1.5
 RETRY_PAUSE_SECONDS: Final = 0.1
-# How far an idle transaction may outlast its limit, which is 10 s by default.
+# Maximum time by which an idle transaction exceeds its limit, which is 10 s by default.
 REAP_INTERVAL_SECONDS: Final = 0.25
-# Good polls of another control process before the preferred one is tried again:
-# some seconds, so that one that keeps failing costs a small part of the polls.
+# Successful polls of another control process before the preferred one is tried again.
+# They take some seconds, so that a preferred process that keeps failing costs only a
+# small part of the polls.
 POLLS_BEFORE_RETURN: Final = 5
 
-# Refusals in a row after which balancers commonly take a process out, as two failed
-# health checks are.
+# Consecutive failed health checks after which load balancers commonly remove a process
+# from the rotation.
 BALANCER_REFUSALS: Final = 2
-# A cut shows for so long before a process takes itself for cut off: above a lost
-# packet's second transmission (0.2 s), so that one loss does not count.
+# Time for which a partition must be observed before a process considers itself cut
+# off: longer than the retransmission of a lost packet (0.2 s), so that a single loss
+# does not count.
 LEAVE_AFTER_SECONDS: Final = 0.3
-# Time without a new doubt after one that was unfounded: a balancer that asks once a
-# second gets no two refusals in a row from doubts that come and go.
-DOUBT_PAUSE_SECONDS: Final = 1.2
-# Control answers for so long before a cut-off process serves again. Callers are served
-# elsewhere meanwhile, and a link that comes and goes moves them less often.
+# Time without a new suspicion after an unfounded one, so that intermittent suspicions
+# do not give two consecutive refusals to a load balancer that checks once a second.
+SUSPICION_PAUSE_SECONDS: Final = 1.2
+# Time for which control must answer before a cut-off process rejoins the rotation.
+# Callers are served elsewhere meanwhile, and an intermittent link moves them less
+# often.
 RETURN_AFTER_SECONDS: Final = 0.5
-# Time between two looks at what this process reaches: small beside the second after
-# which balancers commonly ask again.
-LOOK_SECONDS: Final = 0.1
-# Part of the callers whose idle connections are closed at one look after the balancer
-# sends them elsewhere: all have moved after about a second, and do not connect
-# elsewhere in one moment.
-MOVE_SHARE: Final = 0.2
-# Time for which idle callers are moved. Processes of one failure domain leave within
-# one of the balancer's questions of each other, and who has moved to one of them must
-# move again. Callers that come later come because there is no better place.
+# Interval between checks of reachability: short compared with the second that load
+# balancers commonly wait between health checks.
+ROTATION_CHECK_SECONDS: Final = 0.1
+# Fraction of the connections that is closed at each check, if idle, once the balancer
+# sends callers elsewhere. All callers have moved after about a second and do not
+# reconnect elsewhere all at once.
+MOVE_FRACTION: Final = 0.2
+# Time for which idle callers are moved. The processes of a failure domain leave the
+# rotation within one health check interval of each other, and callers that moved to
+# another of them must move again. Callers that connect after this time do so because
+# the balancer has no better target.
 MOVE_SECONDS: Final = 3.0
--- a/packages/following/src/dogwoodspool_following/control_peers.py
+++ b/packages/following/src/dogwoodspool_following/control_peers.py
@@ -1,4 +1,4 @@
-"""The control processes as a proxy finds them."""
+"""Selection of the control process to which requests are sent."""
 
 import hashlib
 import threading
@@ -14,41 +14,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlContact:
-    """How far control answers.
+    """Which part of the control group answers this process.
 
     Attributes:
-        is_majority_silent: too few processes answer to make decisions among themselves.
-            During an election a majority still answers, if only that none of them
-            leads. Without one, the group's decisions are taken where this process
-            reaches nobody, or nowhere.
-        has_missed_answer: the process that was asked last gave no answer.
-        is_in_question: a process gave no answer, or an old one, since a current one
-            last answered.
-        is_in_touch: a current process has answered a poll since a majority fell silent.
+        is_majority_silent: whether the processes that answer are too few to make
+            decisions. During an election a majority still answers, even if only that
+            none of them leads. Without a majority, decisions are made among processes
+            that are unreachable from here, or not at all.
+        has_missed_answer: whether the process that was asked last gave no answer.
+        is_degraded: whether a process gave no answer or an outdated one since an
+            up-to-date process last answered.
+        has_control_contact: whether an up-to-date process has answered a poll since a
+            majority became silent.
     """
 
     is_majority_silent: bool
     has_missed_answer: bool
-    is_in_question: bool
-    is_in_touch: bool
+    is_degraded: bool
+    has_control_contact: bool
 
 
 class ControlPeers:
-    """Remember which control process leads, and take turns without one.
+    """Track the control leader, and try the processes in order without one.
 
-    What a process says of itself is known; what others say of the leader is hearsay.
-    When a leader is cut off, they go on naming it until they have elected. A proxy
-    that believed them would wait for it each time. So nobody is believed to lead who
-    was asked in vain, until each process has been asked.
+    A process that answers as the leader is known to lead; what other processes say
+    about the leader is only a hint. When a leader is cut off, they keep naming it until
+    they have elected another one, and a proxy that followed each hint would wait for
+    the old leader every time. So a hint to a process that gave no answer is ignored
+    until every process has been asked.
 
     Args:
-        addresses: those known at the start.
-        failure_domain: where this process runs; control processes there go first,
-            since what they send stays inside it.
-        name: name of this process. The others have the same addresses: each asks them
-            in an order of its own, so that they do not all ask the same first one, nor
-            all turn to the same next one when a control process is lost. Without a name
-            the given order is kept.
+        addresses: the control processes known at the start.
+        failure_domain: the failure domain of this process. Control processes in it are
+            preferred, since what they send stays inside it.
+        name: name of this process. All processes know the same addresses; each asks
+            them in its own order, so that they do not all ask the same one first, nor
+            all move to the same one when a control process is lost. Without a name the
+            given order is kept.
     """
 
     def __init__(
@@ -58,63 +60,64 @@
         name: str = "",
     ) -> None:
         self._name = name
-        self._addresses = tuple(sorted(addresses, key=self._turn_of))
+        self._addresses = tuple(sorted(addresses, key=self._rank))
         self._failure_domain = failure_domain
         self._lock = threading.Lock()
         self._leader: Address | None = None
-        # Asked since a leader last answered, and whether they gave an answer.
+        # Processes asked since a leader last answered, and whether they gave an answer.
         self._tried: dict[Address, bool] = {}
-        # Gave no answer since one that leads, or hears the leader, last answered.
+        # Processes without an answer since a process that leads, or is in contact with
+        # the leader, last answered.
         self._silent: set[Address] = set()
         self._has_missed_answer = False
         self._is_behind = False
-        self._is_in_touch = True
-        self._turn = 0
+        self._has_control_contact = True
+        self._index = 0
         self._successes = 0
 
     @property
     def addresses(self) -> tuple[Address, ...]:
-        """All that are known, in the order of preference."""
+        """All known addresses in order of preference."""
         with self._lock:
             return self._addresses
 
     @property
     def has_leader(self) -> bool:
-        """Tell whether the leader is known."""
+        """Return whether the leader is known."""
         with self._lock:
             return self._leader is not None
 
     def contact(self) -> ControlContact:
-        """Return how far control answers, all of it at one moment."""
+        """Return a consistent snapshot of the contact to control."""
         with self._lock:
             return ControlContact(
                 is_majority_silent=self._lacks_majority(),
                 has_missed_answer=self._has_missed_answer,
-                is_in_question=bool(self._silent) or self._is_behind,
-                is_in_touch=self._is_in_touch,
+                is_degraded=bool(self._silent) or self._is_behind,
+                has_control_contact=self._has_control_contact,
             )
 
     def leader_or_next(self) -> Address:
-        """Return the leader's address, or the next one to ask."""
+        """Return the leader's address or, without a leader, the next one to ask."""
         with self._lock:
-            return self._leader or self._addresses[self._turn]
+            return self._leader or self._addresses[self._index]
 
     def any(self) -> Address:
         """Return an address for requests that every control process serves."""
         with self._lock:
-            return self._addresses[self._turn]
+            return self._addresses[self._index]
 
     def adopt(self, members: Iterable[MemberMessage]) -> None:
-        """Take over the members of the control group.
+        """Replace the known addresses by those of the control group's members.
 
-        Processes are replaced at other addresses over time: without this, a proxy
-        that runs for months would know none of those that are left.
+        Control processes are replaced at other addresses over time: without this, a
+        proxy that runs for months would know none of the remaining ones.
         """
         ordered = sorted(
             members,
             key=lambda one: (
                 one.failure_domain != self._failure_domain,
-                self._turn_of(Address.parse(one.address)),
+                self._rank(Address.parse(one.address)),
                 one.address,
             ),
         )
@@ -125,11 +128,11 @@
             log_event("control_members", addresses=",".join(map(str, addresses)))
             self._addresses = addresses
             self._silent &= set(addresses)
-            self._turn = 0
+            self._index = 0
             self._successes = 0
 
     def record_leader_hint(self, text: str | None) -> None:
-        """Take over what a control process said of the leader."""
+        """Use the leader that a process named, unless that leader gave no answer."""
         if not text:
             return
         try:
@@ -139,63 +142,63 @@
             return
         with self._lock:
             if self._tried.get(leader, True):
-                self._follow(leader)
+                self._set_leader(leader)
 
     def record_leader_answer(self, address: Address) -> None:
-        """Take in that a process answered as the leader."""
+        """Record that a process answered as the leader."""
         with self._lock:
             self._tried.clear()
-            self._note_current()
-            self._follow(address)
+            self._record_current()
+            self._set_leader(address)
 
     def record_refusal(self, address: Address, error: PeerRefusedError) -> None:
-        """Turn to the next process after one refused, which may name the leader."""
-        self._note_tried(address, has_answered=True)
-        self._note_heard(address)
+        """Record a refusal, which may name the leader; move to the next process."""
+        self._record_attempt(address, has_answered=True)
+        self._record_answered(address)
         if error.code == CODE_NOT_LEADER:
             self.record_leader_hint(error.detail)
 
     def record_failure(self, address: Address) -> None:
-        """Turn to the next process after one gave no answer."""
-        self._note_tried(address, has_answered=False)
+        """Record that a process gave no answer; move to the next one."""
+        self._record_attempt(address, has_answered=False)
         with self._lock:
             self._silent.add(address)
             self._has_missed_answer = True
             if self._lacks_majority():
-                self._is_in_touch = False
+                self._has_control_contact = False
 
     def record_behind(self, address: Address) -> None:
-        """Turn to the next process after one answered that does not hear the leader."""
-        self._note_tried(address, has_answered=False)
-        self._note_heard(address)
+        """Record an answer from a process without the leader; move to the next one."""
+        self._record_attempt(address, has_answered=False)
+        self._record_answered(address)
         with self._lock:
             self._is_behind = True
 
     def record_success(self, address: Address) -> None:
-        """Return to the preferred process after some polls of another one."""
+        """Record a successful poll; after some, return to the preferred process."""
         with self._lock:
             self._tried.pop(address, None)
-            self._note_current()
-            self._is_in_touch = True
-            if self._addresses[self._turn] != address or self._turn == 0:
+            self._record_current()
+            self._has_control_contact = True
+            if self._addresses[self._index] != address or self._index == 0:
                 return
             self._successes += 1
             if self._successes >= POLLS_BEFORE_RETURN:
                 self._successes = 0
-                self._turn = 0
+                self._index = 0
 
-    def _turn_of(self, address: Address) -> bytes:
-        """Return what orders the addresses, differently for each name."""
+    def _rank(self, address: Address) -> bytes:
+        """Return the sort key of an address, which differs for each name."""
         if not self._name:
             return b""
         return hashlib.sha256(f"{self._name} {address}".encode()).digest()
 
-    def _follow(self, leader: Address) -> None:
+    def _set_leader(self, leader: Address) -> None:
         if leader != self._leader:
             log_event("control_leader", address=leader)
         self._leader = leader
 
-    def _note_tried(self, address: Address, *, has_answered: bool) -> None:
+    def _record_attempt(self, address: Address, *, has_answered: bool) -> None:
         with self._lock:
             self._successes = 0
             if self._leader == address:
@@ -203,15 +206,15 @@
             self._tried[address] = has_answered
             if self._tried.keys() >= set(self._addresses):
                 self._tried.clear()
-            if self._addresses[self._turn] == address or self._leader is None:
-                self._take_next_turn()
+            if self._addresses[self._index] == address or self._leader is None:
+                self._select_next()
 
-    def _note_current(self) -> None:
+    def _record_current(self) -> None:
         self._silent.clear()
         self._has_missed_answer = False
         self._is_behind = False
 
-    def _note_heard(self, address: Address) -> None:
+    def _record_answered(self, address: Address) -> None:
         with self._lock:
             self._silent.discard(address)
             self._has_missed_answer = False
@@ -220,11 +223,11 @@
         count = len(self._addresses)
         return count - len(self._silent) <= count // 2
 
-    def _take_next_turn(self) -> None:
-        """Turn to the next process that was not asked in vain."""
+    def _select_next(self) -> None:
+        """Select the next process, preferring those that did not fail to answer."""
         count = len(self._addresses)
-        turns = [(self._turn + step) % count for step in range(1, count + 1)]
-        hopeful = [
-            turn for turn in turns if self._tried.get(self._addresses[turn], True)
+        indexes = [(self._index + step) % count for step in range(1, count + 1)]
+        candidates = [
+            index for index in indexes if self._tried.get(self._addresses[index], True)
         ]
-        self._turn = (hopeful or turns)[0]
+        self._index = (candidates or indexes)[0]
--- a/packages/following/src/dogwoodspool_following/coordinator.py
+++ b/packages/following/src/dogwoodspool_following/coordinator.py
@@ -1,4 +1,4 @@
-"""A thread that repeats one step until it is told to stop."""
+"""Base class for threads that repeat a step until they are stopped."""
 
 import threading
 from abc import ABC, abstractmethod
@@ -9,7 +9,7 @@
 
 
 class Coordinator(ABC):
-    """Base of the proxy's coordinators: one thread for each data source."""
+    """Base of coordinators; each runs its step in a thread of its own."""
 
     def __init__(self, name: str, clock: Clock) -> None:
         self._name = name
@@ -24,29 +24,29 @@
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop the thread after the step that is under way."""
+        """Stop the thread after the current step."""
         with self._wake:
             self._is_stopped = True
             self._wake.notify_all()
         self._thread.join()
 
     def wake(self) -> None:
-        """Begin the next step at once."""
+        """Start the next step at once."""
         with self._wake:
             self._is_woken = True
             self._wake.notify_all()
 
     @abstractmethod
     def step(self) -> float:
-        """Do one step; return the seconds until the next."""
+        """Run one step; return the seconds until the next one."""
 
     def _run(self) -> None:
         while not self._is_stopped:
             try:
                 pause = self.step()
             except Exception as error:
-                # A fault in one step must not end the coordinator: grants would
-                # run out or settings stay old with no one to see why.
+                # An error in one step must not end the thread: grants would expire or
+                # settings become outdated without a visible cause.
                 log_event(
                     "step_failed", level="ERROR", step=self._name, error=repr(error)
                 )
--- a/packages/following/src/dogwoodspool_following/open_sessions.py
+++ b/packages/following/src/dogwoodspool_following/open_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of the callers that are connected to this process."""
+"""Sessions of the callers that are connected to this process."""
 
 import threading
 from typing import Generic, Protocol, TypeVar
@@ -10,10 +10,10 @@
 
 
 class ExpiringSession(Protocol):
-    """A session whose transaction may idle for too long."""
+    """A session whose transaction may be idle for too long."""
 
     def expire_transaction(self) -> None:
-        """Undo a transaction whose caller has done nothing for too long."""
+        """Roll back a transaction whose caller has been idle for too long."""
         ...
 
 
@@ -21,10 +21,10 @@
 
 
 class OpenSessions(Coordinator, Generic[SessionT]):
-    """Keep track of open sessions, and end transactions that idle too long.
+    """Track open sessions, and end transactions that are idle for too long.
 
-    A caller that goes away without a sign keeps its transaction, and with it a
-    connection to the primary and maybe locks that others wait for.
+    A caller that disappears without closing its connection keeps its transaction open,
+    and with it a connection to the primary and possibly locks that others wait for.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -34,12 +34,12 @@
 
     @property
     def count(self) -> int:
-        """Sessions that are open."""
+        """The number of open sessions."""
         with self._lock:
             return len(self._open)
 
     def step(self) -> float:
-        """Look for idle transactions once."""
+        """Expire idle transactions once."""
         with self._lock:
             sessions = list(self._open)
         for session in sessions:
--- a/packages/following/src/dogwoodspool_following/rotation_watch.py
+++ b/packages/following/src/dogwoodspool_following/rotation_coordinator.py
@@ -1,45 +1,47 @@
-"""Look at what this process reaches, and move callers once it leaves the rotation."""
+"""Periodic checks of reachability, and moving callers after leaving the rotation."""
 
 from typing import Protocol
 
 from dogwoodspool_common import Clock, log_event
 
-from .const import LOOK_SECONDS, MOVE_SECONDS, MOVE_SHARE
+from .const import MOVE_FRACTION, MOVE_SECONDS, ROTATION_CHECK_SECONDS
 from .control_peers import ControlContact, ControlPeers
 from .coordinator import Coordinator
-from .rotation import Reach, Rotation
+from .rotation import Reachability, Rotation
 
 
 class Callers(Protocol):
-    """The callers that are connected."""
+    """The connected callers."""
 
     def close_idle(self, share: float) -> int:
-        """Close idle connections, at most a share of all; return how many."""
+        """Close idle connections up to a fraction of all; return how many."""
         ...
 
 
 class ReachabilitySource(Protocol):
-    """What else a process reaches; looked at while control is in question."""
+    """Reachability of groups and servers, read while control contact is degraded."""
 
     def probe_actively(self, control: ControlContact) -> None:
-        """Ask for what the requests of few callers would show too late."""
+        """Probe for failures that the requests of few callers would reveal too late."""
         ...
 
     def lost_groups(self) -> int:
-        """Return how many groups in use have no primary in reach."""
+        """Return how many groups in use have no reachable primary."""
         ...
 
     def answered_outside(self) -> float:
-        """Return when a server of another failure domain last answered."""
+        """Return the clock time of the last answer from another failure domain."""
         ...
 
 
 class RotationCoordinator(Coordinator):
-    """Keep the rotation up to date, and let callers reconnect elsewhere.
+    """Update the rotation, and close idle connections after leaving it.
 
-    Only connections without a request and without a transaction are closed. A caller
-    that keeps its connection stays with this process for as long as the cut lasts:
-    without moving them the worth served is 0.879 in place of 0.900 (see ``Rotation``).
+    Only connections without a request and without a transaction are closed, so that
+    their callers reconnect elsewhere. Callers that keep their connection would stay
+    with this process for the whole duration of the partition: without moving them the
+    fraction of the requests' worth that is served is 0.879 instead of 0.900 (see
+    ``Rotation``).
     """
 
     def __init__(
@@ -58,12 +60,12 @@
         self._moved = 0
 
     def set_callers(self, callers: Callers) -> None:
-        """Move these callers; called before ``set_up``."""
+        """Set the callers to move; call this before ``set_up``."""
         self._callers = callers
 
     def step(self) -> float:
-        """Look once, and move some callers where they are served elsewhere."""
-        self._rotation.look(self._reach())
+        """Check reachability once, and move some callers if the balancer acts on it."""
+        self._rotation.update(self._reachability())
         if not self._rotation.is_out:
             self._out_since = None
         elif self._out_since is None:
@@ -71,15 +73,15 @@
             self._moved = 0
         elif self._clock.now() - self._out_since < MOVE_SECONDS:
             self._move()
-        return LOOK_SECONDS
+        return ROTATION_CHECK_SECONDS
 
-    def _reach(self) -> Reach:
+    def _reachability(self) -> Reachability:
         control = self._peers.contact()
-        if not control.is_in_question:
-            # The usual case, ten times a second: nothing is looked for among servers.
-            return Reach(control)
+        if not control.is_degraded:
+            # The usual case, ten times a second: the servers are not examined.
+            return Reachability(control)
         self._surroundings.probe_actively(control)
-        return Reach(
+        return Reachability(
             control,
             self._surroundings.lost_groups(),
             self._surroundings.answered_outside(),
@@ -88,7 +90,7 @@
     def _move(self) -> None:
         if self._callers is None:
             return
-        closed = self._callers.close_idle(MOVE_SHARE)
+        closed = self._callers.close_idle(MOVE_FRACTION)
         if closed and not self._moved:
             log_event("moving_callers", closed=closed)
         self._moved += closed
--- a/packages/following/src/dogwoodspool_following/view.py
+++ b/packages/following/src/dogwoodspool_following/view.py
@@ -1,4 +1,4 @@
-"""The committed state of control as this proxy follows it."""
+"""This proxy's copy of the committed state of control."""
 
 import threading
 from collections.abc import Callable, Iterable, Mapping
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ProxyView:
-    """One version of the committed state in inner terms."""
+    """One version of the committed state as domain objects."""
 
     version: int = 0
     groups: Mapping[str, GroupState] = field(default_factory=dict)
@@ -34,10 +34,10 @@
 
     @classmethod
     def of(cls, message: ControlView, base: "ProxyView | None" = None) -> "ProxyView":
-        """Build the inner value of a message.
+        """Build the view from a message.
 
         Args:
-            message: the whole state, or what differs from ``base``.
+            message: the whole state, or the differences from ``base``.
             base: the view of the version that the message names as its base.
         """
         before = base if base is not None and message.base_version else cls()
@@ -95,10 +95,10 @@
 
 
 class ViewStore:
-    """Hold the newest view; versions never go back.
+    """Hold the newest view; its version never decreases.
 
-    A control process that was cut off for long may answer with an older state
-    and believe it current; such an answer changes nothing here.
+    A control process that was cut off for a long time may answer with an older state
+    that it considers current; such an answer is ignored.
     """
 
     def __init__(self, failure_domain: str, clock: Clock) -> None:
@@ -121,12 +121,12 @@
 
     @property
     def announced_version(self) -> int:
-        """The newest version of which the control leader has told."""
+        """The newest version that the control leader has announced."""
         return self._announced_version
 
     @property
     def is_filled(self) -> bool:
-        """Tell whether a view has come from control."""
+        """Return whether a view has been received from control."""
         return self._view.version > 0
 
     def settings(self, group: str | None) -> EffectiveSettings:
@@ -134,23 +134,23 @@
         return self._view.tree.effective(group, self._failure_domain)
 
     def connections_of(self, server: BackendServer) -> int:
-        """Return the connections that a server takes; 0 where nothing says so."""
+        """Return how many connections a server accepts; 0 if that is not known."""
         settings = self.settings(server.group)
         return settings.server_connections or server.connections
 
-    def note_announced(self, version: int) -> None:
-        """Note a version of which the control leader has told."""
+    def record_announced(self, version: int) -> None:
+        """Record a version that the control leader has announced."""
         self._announced_version = max(version, self._announced_version)
 
     def add_listener(self, listener: ViewListener) -> None:
-        """Call a function with each new view."""
+        """Register a function that is called with each new view."""
         self._listeners.append(listener)
 
     def adopt(self, message: ControlView) -> bool:
-        """Put a view in force if it is newer; tell whether it was.
+        """Put a view in force if it is newer; return whether it was.
 
-        Differences from another version than the one in force are left: merged
-        into it they would keep what the state no longer has.
+        Differences from a version other than the one in force are ignored: a merge
+        would keep entries that the state no longer contains.
         """
         with self._changed:
             if message.version <= self._view.version:
@@ -165,7 +165,7 @@
         return True
 
     def wait_newer(self, version: int, seconds: float) -> bool:
-        """Wait for a view that is newer than a version."""
+        """Wait for a view newer than a version; return False on timeout."""
         deadline = self._clock.now() + seconds
         with self._changed:
             while self._view.version <= version:
@@ -176,7 +176,7 @@
             return True
 
     def wait_filled(self, seconds: float) -> bool:
-        """Wait for the first view."""
+        """Wait for the first view; return False on timeout."""
         deadline = self._clock.now() + seconds
         with self._changed:
             while not self.is_filled:
--- a/packages/following/src/dogwoodspool_following/watch.py
+++ b/packages/following/src/dogwoodspool_following/watch.py
@@ -1,4 +1,4 @@
-"""Follow the committed state of control by long polls."""
+"""Long polling of the committed state of control."""
 
 from dogwoodspool_api import WatchResponse
 from dogwoodspool_api.const import (
@@ -33,13 +33,14 @@
 class WatchCoordinator(Coordinator):
     """Keep the view store at the newest version.
 
-    The first view after a start must be confirmed by a quorum: a control process
-    that was cut off for long would otherwise give this proxy its old state, with
-    nothing newer to compare it to. Later ones come from any process that still
-    hears from the leader; one that does not is left for another.
+    The first view after a start must be confirmed by a quorum: otherwise a control
+    process that was cut off for a long time could provide an old state, with nothing
+    newer to compare it to. Later views come from any process that is in contact with
+    the leader; if the polled one is not, another one is polled.
 
     Args:
-        wait_ms: how long a control process holds a poll without news.
+        wait_ms: time in milliseconds for which a control process holds a poll when
+            there is no newer view.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self._client = client
 
     def step(self) -> float:
-        """Wait for one newer view."""
+        """Poll once for a newer view."""
         address = self._peers.any()
         asked_at = self._clock.now()
         try:
@@ -70,7 +71,7 @@
             self._log_failure(address, asked_at, error)
             self._peers.record_failure(address)
             return RETRY_PAUSE_SECONDS
-        # A cut-off process names a leader of long ago; the renewals know better.
+        # A cut-off process may name an outdated leader; renewals find the current one.
         if not self._peers.has_leader:
             self._peers.record_leader_hint(response.leader)
         if response.members:
@@ -87,8 +88,8 @@
         if response.retry_after_ms:
             return response.retry_after_ms / MILLISECONDS
         if self._views.view.version < self._views.announced_version:
-            # The leader has a newer version, yet this process waited in vain for
-            # it: it is cut off from the others and does not know.
+            # The leader has announced a newer version, but the polled process has not
+            # received it: it is cut off from the others without having noticed.
             log_event("watch_stale", address=address)
             self._peers.record_behind(address)
         return 0.0
--- a/packages/proxy/src/dogwoodspool_proxy/renew.py
+++ b/packages/proxy/src/dogwoodspool_proxy/renew.py
@@ -122,5 +122,5 @@
         margin = min(SHARE_EXPIRY_MARGIN_SECONDS, lease_seconds / 2)
         until = sent_at + lease_seconds - margin
         self._registry.grant_shares(response.connection_shares, until)
-        self._views.note_announced(response.view_version)
+        self._views.record_announced(response.view_version)
         self._renewed_at = sent_at
--- a/tests/following/test_control_peers.py
+++ b/tests/following/test_control_peers.py
@@ -1,4 +1,4 @@
-"""Tests of whom a proxy takes for the control leader."""
+"""Tests of how a proxy determines the control leader."""
 
 import unittest
 
@@ -11,37 +11,37 @@
 
 
 def refusal(leader: Address) -> PeerRefusedError:
-    """Return the answer of a process that names another one as the leader."""
+    """Return the refusal of a process that names another one as the leader."""
     return PeerRefusedError(421, CODE_NOT_LEADER, str(leader))
 
 
 class LeaderTests(unittest.TestCase):
-    """What a process says of itself counts more than what others say of it."""
+    """A leader's own answer overrides what other processes say about the leader."""
 
     def setUp(self) -> None:
         self.peers = ControlPeers((FIRST, SECOND, THIRD))
         self.peers.record_leader_answer(FIRST)
 
-    def test_a_silent_leader_is_not_believed_to_lead_by_hearsay(self) -> None:
+    def test_hint_to_a_silent_leader_is_ignored(self) -> None:
         self.peers.record_failure(FIRST)
         self.peers.record_refusal(SECOND, refusal(FIRST))
         self.assertEqual(self.peers.leader_or_next(), THIRD)
 
-    def test_once_all_were_asked_it_is(self) -> None:
+    def test_hint_to_a_silent_leader_is_followed_once_all_were_asked(self) -> None:
         self.peers.record_failure(FIRST)
         self.peers.record_refusal(SECOND, refusal(FIRST))
         self.peers.record_refusal(THIRD, refusal(FIRST))
         self.assertEqual(self.peers.leader_or_next(), FIRST)
 
-    def test_a_process_that_refused_may_have_been_elected_since(self) -> None:
+    def test_hint_to_a_process_that_refused_is_followed(self) -> None:
         self.peers.record_failure(FIRST)
         self.peers.record_refusal(SECOND, refusal(FIRST))
         self.peers.record_refusal(THIRD, refusal(SECOND))
         self.assertEqual(self.peers.leader_or_next(), SECOND)
 
-    def test_a_leader_that_answers_again_is_followed_at_once(self) -> None:
-        # Its answers counted as hearsay: a proxy whose link had failed for a moment
-        # renewed with the leader and went on to ask the others who leads.
+    def test_leader_that_answers_again_is_followed_at_once(self) -> None:
+        # If a leader's own answer counted only as a hint, a proxy whose link had failed
+        # for a moment would renew with the leader and still ask the others who leads.
         self.peers.record_failure(FIRST)
         self.peers.record_leader_answer(FIRST)
         self.assertEqual(self.peers.leader_or_next(), FIRST)
@@ -50,31 +50,31 @@
 
 
 class ContactTests(unittest.TestCase):
-    """Whether enough control processes answer to make decisions without this one.
+    """Whether enough control processes answer to make decisions.
 
-    A proxy in a cut-off failure domain reaches one of three. During an election all
-    answer and none leads, which must not look like a cut.
+    A proxy in a cut-off failure domain reaches one of three. During an election all of
+    them answer and none leads, which must not be taken for a partition.
     """
 
     def setUp(self) -> None:
         self.peers = ControlPeers((FIRST, SECOND, THIRD))
         self.peers.record_leader_answer(FIRST)
 
-    def test_two_silent_ones_of_three_are_a_majority(self) -> None:
+    def test_two_silent_processes_of_three_are_a_majority(self) -> None:
         self.peers.record_failure(FIRST)
         self.assertFalse(self.peers.contact().is_majority_silent)
         self.peers.record_failure(SECOND)
         self.assertTrue(self.peers.contact().is_majority_silent)
-        self.assertFalse(self.peers.contact().is_in_touch)
+        self.assertFalse(self.peers.contact().has_control_contact)
 
-    def test_the_one_that_is_cut_off_as_well_does_not_help(self) -> None:
+    def test_answers_of_a_cut_off_process_do_not_restore_the_majority(self) -> None:
         self.peers.record_failure(FIRST)
         self.peers.record_failure(SECOND)
         self.peers.record_behind(THIRD)
         self.peers.record_refusal(THIRD, refusal(FIRST))
         self.assertTrue(self.peers.contact().is_majority_silent)
 
-    def test_an_election_is_no_cut(self) -> None:
+    def test_election_is_not_a_partition(self) -> None:
         self.peers.record_failure(FIRST)
         self.assertTrue(self.peers.contact().has_missed_answer)
         for _ in range(10):
@@ -83,31 +83,31 @@
         self.assertFalse(self.peers.contact().is_majority_silent)
         self.assertFalse(self.peers.contact().has_missed_answer)
 
-    def test_a_leader_that_answers_ends_the_silence(self) -> None:
+    def test_answer_of_the_leader_ends_the_silence(self) -> None:
         self.peers.record_failure(FIRST)
         self.peers.record_failure(SECOND)
         self.peers.record_leader_answer(THIRD)
         self.assertFalse(self.peers.contact().is_majority_silent)
 
-    def test_only_a_poll_of_a_current_process_brings_back_in_touch(self) -> None:
-        # The leader answers a report while the poll for the view still hangs on a
-        # connection of before the cut.
+    def test_only_a_poll_of_a_current_process_restores_control_contact(self) -> None:
+        # The leader answers a report while the poll for the view still waits on a
+        # connection from before the partition.
         self.peers.record_failure(FIRST)
         self.peers.record_failure(SECOND)
         self.peers.record_leader_answer(FIRST)
-        self.assertFalse(self.peers.contact().is_in_touch)
+        self.assertFalse(self.peers.contact().has_control_contact)
         self.peers.record_success(FIRST)
-        self.assertTrue(self.peers.contact().is_in_touch)
+        self.assertTrue(self.peers.contact().has_control_contact)
 
-    def test_an_answer_that_is_behind_puts_control_in_question(self) -> None:
-        self.assertFalse(self.peers.contact().is_in_question)
+    def test_outdated_answer_degrades_the_contact(self) -> None:
+        self.assertFalse(self.peers.contact().is_degraded)
         self.peers.record_behind(THIRD)
-        self.assertTrue(self.peers.contact().is_in_question)
+        self.assertTrue(self.peers.contact().is_degraded)
         self.assertFalse(self.peers.contact().has_missed_answer)
         self.peers.record_success(SECOND)
-        self.assertFalse(self.peers.contact().is_in_question)
+        self.assertFalse(self.peers.contact().is_degraded)
 
-    def test_members_that_are_gone_are_not_counted(self) -> None:
+    def test_removed_members_are_not_counted(self) -> None:
         self.peers.record_failure(FIRST)
         self.peers.record_failure(SECOND)
         kept = [
--- a/tests/following/test_control_peers_load.py
+++ b/tests/following/test_control_peers_load.py
@@ -1,4 +1,4 @@
-"""Tests of how many processes turn to one control process; replayed losses."""
+"""Tests of the distribution of polls over the control processes."""
 
 import unittest
 from collections import Counter
@@ -14,12 +14,12 @@
     MemberMessage(address=str(address), failure_domain=domain)
     for address, domain in zip(CONTROL, DOMAINS, strict=True)
 ]
-# Proxies at one control process at most, over an even share of them.
-MOST_OVER_SHARE = 1.6
+# Maximum ratio of the proxies at one control process to an even distribution.
+MAX_RATIO_TO_EVEN = 1.6
 
 
 def proxies(count: int, known: Iterable[Address]) -> list[ControlPeers]:
-    """Return proxies that are spread over the failure domains."""
+    """Return proxies that are distributed over the failure domains."""
     addresses = tuple(known)
     return [
         ControlPeers(addresses, DOMAINS[n % len(DOMAINS)], f"edge-{n}")
@@ -27,23 +27,23 @@
     ]
 
 
-class SpreadTests(unittest.TestCase):
-    """No control process gets far more than its share, whichever are lost."""
+class DistributionTests(unittest.TestCase):
+    """No control process gets far more polls than others, whichever are lost."""
 
-    def check_spread(self, asked: Iterable[ControlPeers], count: int) -> None:
+    def check_distribution(self, asked: Iterable[ControlPeers], count: int) -> None:
         polled = Counter(peers.any() for peers in asked)
-        share = polled.total() / count
+        even_count = polled.total() / count
         self.assertEqual(len(polled), count)
-        self.assertLess(max(polled.values()), share * MOST_OVER_SHARE)
+        self.assertLess(max(polled.values()), even_count * MAX_RATIO_TO_EVEN)
 
-    def test_processes_that_start_together_ask_different_ones(self) -> None:
-        """Guard against a crowd at the first address that all know at the start."""
+    def test_proxies_that_start_together_poll_different_processes(self) -> None:
+        """Guard against all proxies polling the first address known at the start."""
         for count in (76, 194, 1_000):
             with self.subTest(count=count):
-                self.check_spread(proxies(count, CONTROL[:3]), 3)
+                self.check_distribution(proxies(count, CONTROL[:3]), 3)
 
-    def test_those_of_a_lost_control_process_turn_to_different_ones(self) -> None:
-        """Guard against a crowd at the one process that is next for all of a domain."""
+    def test_proxies_of_a_lost_process_move_to_different_processes(self) -> None:
+        """Guard against all proxies of a failure domain moving to the same process."""
         for lost in ({0}, {0, 1}, {2, 4}):
             with self.subTest(lost=lost):
                 known = proxies(76, CONTROL[:3])
@@ -51,9 +51,9 @@
                     peers.adopt(MEMBERS)
                     while peers.any() in {CONTROL[one] for one in lost}:
                         peers.record_failure(peers.any())
-                self.check_spread(known, len(CONTROL) - len(lost))
+                self.check_distribution(known, len(CONTROL) - len(lost))
 
-    def test_a_process_asks_its_own_failure_domain_first(self) -> None:
+    def test_own_failure_domain_is_polled_first(self) -> None:
         for peers, domain in zip(proxies(5, CONTROL), DOMAINS, strict=True):
             peers.adopt(MEMBERS)
             expected = CONTROL[DOMAINS.index(domain)]
--- a/tests/following/test_open_sessions.py
+++ b/tests/following/test_open_sessions.py
@@ -1,4 +1,4 @@
-"""Tests of the sessions of connected callers."""
+"""Tests of the tracking of open sessions."""
 
 import unittest
 
@@ -10,37 +10,39 @@
     """A session that counts how often it was asked to expire."""
 
     def __init__(self) -> None:
-        self.looks = 0
+        self.expire_calls = 0
 
     def expire_transaction(self) -> None:
-        """Count the look."""
-        self.looks += 1
+        """Count the call."""
+        self.expire_calls += 1
 
 
 class FakeSessions(OpenSessions[FakeSession]):
-    """Sessions that tests open and close."""
+    """Open sessions that a test controls."""
 
     def open(self) -> FakeSession:
         """Return a new session."""
         return self._keep(FakeSession())
 
     def close(self, session: FakeSession) -> None:
-        """Forget a session, as its end does."""
+        """Remove a session, as its end does."""
         self._forget(session)
 
 
 class OpenSessionsTests(unittest.TestCase):
-    """Every open session is looked at, and no closed one."""
+    """Every open session is checked, and no closed one."""
 
-    def test_a_closed_session_is_not_looked_at(self) -> None:
+    def test_closed_session_is_not_expired(self) -> None:
         sessions = FakeSessions(ManualClock())
         kept, closed = sessions.open(), sessions.open()
         sessions.close(closed)
         sessions.step()
-        self.assertEqual((kept.looks, closed.looks, sessions.count), (1, 0, 1))
+        self.assertEqual(
+            (kept.expire_calls, closed.expire_calls, sessions.count), (1, 0, 1)
+        )
 
-    def test_a_session_may_end_twice(self) -> None:
-        # The caller goes away while the proxy closes it for another reason.
+    def test_session_may_be_removed_twice(self) -> None:
+        # The caller disconnects while the proxy closes the session for another reason.
         sessions = FakeSessions(ManualClock())
         session = sessions.open()
         sessions.close(session)
--- a/tests/following/test_rotation_load.py
+++ b/tests/following/test_rotation_load.py
@@ -1,4 +1,4 @@
-"""Replay a cut of a failure domain on its proxies, in simulated time."""
+"""Replay of a partition of a failure domain on its proxies, in simulated time."""
 
 import random
 import unittest
@@ -6,19 +6,20 @@
 
 from dogwoodspool_common import ManualClock
 from dogwoodspool_following import Rotation, RotationCoordinator
-from dogwoodspool_following.const import LOOK_SECONDS
+from dogwoodspool_following.const import ROTATION_CHECK_SECONDS
 
-from .test_rotation import CUT_OFF, WELL
-from .test_rotation_watch import FakeReach, coordinator
+from .test_rotation import CUT_OFF, HEALTHY
+from .test_rotation_coordinator import FakeReachability, coordinator
 
 PROXIES = 4
 ONE_OFF_PER_SECOND = 120
 SESSIONS_PER_PROXY = 10
 REQUESTS_PER_SESSION = 2.0
-ASK_SECONDS = 1.0
-MISSES = 2
+HEALTH_CHECK_SECONDS = 1.0
+MAX_FAILED_CHECKS = 2
 CUT_AT, CUT_UNTIL, END = 5.0, 11.0, 14.0
-# From the cut until a proxy's requests and its questions to control have failed.
+# Mean time from the start of the partition until a proxy's requests to servers and
+# control have failed.
 DETECTION_SECONDS = 0.6
 
 
@@ -27,29 +28,29 @@
     """One proxy of the failure domain, with the callers that keep a connection."""
 
     clock: ManualClock
-    asked_first: float
+    first_check: float
     detects_after: float
     sessions: int = SESSIONS_PER_PROXY
-    misses: int = 0
+    failed_checks: int = 0
     closed: int = 0
     rotation: Rotation = field(init=False)
-    fake: FakeReach = field(init=False)
+    fake: FakeReachability = field(init=False)
     watch: RotationCoordinator = field(init=False)
 
     def __post_init__(self) -> None:
         self.rotation = Rotation(self.clock)
-        self.fake = FakeReach()
+        self.fake = FakeReachability()
         self.watch = coordinator(self.rotation, self.fake, self.clock)
         self.watch.set_callers(self)
 
     @property
     def is_in_rotation(self) -> bool:
-        return self.misses < MISSES
+        return self.failed_checks < MAX_FAILED_CHECKS
 
-    def look(self) -> None:
+    def check_reachability(self) -> None:
         now = self.clock.now()
         is_cut = CUT_AT + self.detects_after <= now < CUT_UNTIL
-        self.fake.reach = CUT_OFF if is_cut else WELL
+        self.fake.reachability = CUT_OFF if is_cut else HEALTHY
         self.watch.step()
 
     def close_idle(self, share: float) -> int:
@@ -61,7 +62,7 @@
 
 @dataclass
 class Replay:
-    """A balancer that asks each proxy once a second, and callers that follow it."""
+    """A balancer that checks each proxy once a second, and callers that follow it."""
 
     seed: int
     leaves: bool
@@ -76,21 +77,21 @@
             for _ in range(PROXIES)
         ]
         self.elsewhere = 0
-        for tick in range(round(END / LOOK_SECONDS)):
+        for tick in range(round(END / ROTATION_CHECK_SECONDS)):
             for proxy in proxies:
                 if self.leaves:
-                    proxy.look()
-                self._ask(proxy, tick)
+                    proxy.check_reachability()
+                self._check_health(proxy, tick)
             self._reconnect(proxies, rng)
             self._send(proxies, clock.now(), rng)
-            clock.advance(LOOK_SECONDS)
+            clock.advance(ROTATION_CHECK_SECONDS)
         return self
 
-    def _ask(self, proxy: Proxy, tick: int) -> None:
-        ticks = round(ASK_SECONDS / LOOK_SECONDS)
-        if tick % ticks == int(proxy.asked_first * ticks):
+    def _check_health(self, proxy: Proxy, tick: int) -> None:
+        ticks = round(HEALTH_CHECK_SECONDS / ROTATION_CHECK_SECONDS)
+        if tick % ticks == int(proxy.first_check * ticks):
             is_ready = proxy.rotation.answer_balancer()
-            proxy.misses = 0 if is_ready else proxy.misses + 1
+            proxy.failed_checks = 0 if is_ready else proxy.failed_checks + 1
 
     def _reconnect(self, proxies: list[Proxy], rng: random.Random) -> None:
         targets = self._targets(proxies)
@@ -103,7 +104,7 @@
             proxy.closed = 0
 
     def _targets(self, proxies: list[Proxy]) -> list[Proxy]:
-        """Return where new connections go; none where other domains take them."""
+        """Return the targets of new connections; empty if other domains serve them."""
         ready = [one for one in proxies if one.is_in_rotation]
         return proxies if 0 < len(ready) < PROXIES / 2 else ready
 
@@ -115,8 +116,9 @@
         else:
             away += ONE_OFF_PER_SECOND
         for rate, is_here in ((kept, True), (away, False)):
-            count = int(rate * LOOK_SECONDS + rng.random())
-            # A cut-off proxy serves what its own failure domain has: a quarter.
+            count = int(rate * ROTATION_CHECK_SECONDS + rng.random())
+            # A cut-off proxy serves only what its own failure domain has: a quarter of
+            # the requests.
             is_refused = is_here and CUT_AT <= now < CUT_UNTIL
             refused = round(count * 0.75) if is_refused else 0
             self.refused += refused
@@ -124,11 +126,11 @@
 
 
 class CutFailureDomainTests(unittest.TestCase):
-    """Six seconds of a cut, with callers that keep connections and others that do not.
+    """A partition of 6 s, with callers that keep connections and others that do not.
 
     Proxies that stay ready refuse three quarters of the requests until the end. The
-    balancer asks once a second, takes a proxy out after two refusals and uses the
-    other failure domains once none of the four is left.
+    balancer checks once a second, removes a proxy after two refusals and uses the other
+    failure domains once none of the four is left.
     """
 
     def test_most_callers_are_served_elsewhere(self) -> None:
@@ -136,11 +138,11 @@
             with self.subTest(seed=seed):
                 stays = Replay(seed, leaves=False).run()
                 leaves = Replay(seed, leaves=True).run()
-                # 3 s of 6 for the proxies to notice, for two questions of the
-                # balancer, and for the callers to move.
+                # Up to 3 s of 6 for the proxies to detect the partition, for two
+                # health checks, and for the callers to move.
                 self.assertLess(leaves.refused, 0.5 * stays.refused)
 
-    def test_nobody_stays_at_a_proxy_that_left(self) -> None:
+    def test_no_caller_stays_at_a_proxy_that_left(self) -> None:
         for seed in range(10):
             with self.subTest(seed=seed):
                 replay = Replay(seed, leaves=True).run()
--- a/tests/following/test_watch.py
+++ b/tests/following/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of following control's committed state."""
+"""Tests of the polls for control's committed state."""
 
 import unittest
 from typing import Any, cast
@@ -16,7 +16,7 @@
 
 
 class FakeControl:
-    """Control processes, each with the newest version that it knows."""
+    """Fake control processes, each with the newest version that it knows."""
 
     def __init__(self) -> None:
         self.versions = {FIRST: 5, SECOND: 5}
@@ -27,7 +27,7 @@
     def get(
         self, address: Address, _path: str, query: dict[str, str], _timeout: float
     ) -> dict[str, Any]:
-        """Answer a watch at once, as if its time had run out."""
+        """Answer a poll at once, as if its wait had ended."""
         self.asked.append((address, query.get("confirmed") == "1"))
         version = self.versions[address]
         newer = view(version) if version > int(query["after"]) else None
@@ -42,7 +42,7 @@
 
 
 class WatchCoordinatorTests(unittest.TestCase):
-    """Versions come into force wherever they can be had, and never go back."""
+    """New versions are taken from any current process, and never decrease."""
 
     def setUp(self) -> None:
         clock = ManualClock()
@@ -60,40 +60,40 @@
         self.watch.step()
         self.assertEqual(self.control.asked, [(FIRST, True), (FIRST, False)])
 
-    def test_a_cut_off_control_process_is_left(self) -> None:
-        # A partition isolates one control instance without a sign. A proxy that
-        # still reaches it polls it for news and hears none, while changes are
-        # accepted elsewhere; the proxy would serve old settings for hours.
+    def test_cut_off_control_process_is_abandoned(self) -> None:
+        # A partition isolates one control instance, which does not notice. A proxy that
+        # still reaches it would poll it without getting newer views while changes are
+        # accepted elsewhere, and would apply old settings for hours.
         self.watch.step()
         self.control.versions[SECOND] = 6
-        self.views.note_announced(6)
+        self.views.record_announced(6)
         self.watch.step()
         self.watch.step()
         self.assertEqual(self.views.view.version, 6)
 
-    def test_an_older_view_changes_nothing(self) -> None:
-        # The isolated instance comes back and believes its old state current.
+    def test_older_view_is_ignored(self) -> None:
+        # The isolated instance returns and considers its old state current.
         self.watch.step()
         self.assertFalse(self.views.adopt(view(4)))
         self.assertEqual(self.views.view.version, 5)
 
-    def test_a_process_that_hears_no_leader_is_left(self) -> None:
-        # The control process next to this proxy is cut off from the others, and
-        # says so. Changes that are accepted elsewhere would not arrive here.
+    def test_process_without_leader_contact_is_abandoned(self) -> None:
+        # The preferred control process is cut off from the others and reports it.
+        # Changes that are accepted elsewhere would not arrive here.
         self.watch.step()
         self.control.behind.add(FIRST)
         self.watch.step()
         self.watch.step()
         self.assertEqual(self.control.asked[-1][0], SECOND)
 
-    def test_a_poll_that_could_not_wait_comes_back_when_it_was_told_to(self) -> None:
-        """Guard against polls without a pause at a process without room for them."""
+    def test_poll_that_could_not_wait_is_repeated_after_the_stated_time(self) -> None:
+        """Guard against polls without a pause at a process that cannot hold them."""
         self.control.full.add(FIRST)
         self.assertEqual(self.watch.step(), 0.0)
         self.assertEqual(self.views.view.version, 5)
         self.assertEqual(self.watch.step(), 0.7)
 
-    def test_the_preferred_process_is_tried_again(self) -> None:
+    def test_preferred_process_is_tried_again(self) -> None:
         self.watch.step()
         self.control.behind.add(FIRST)
         self.watch.step()
@@ -104,9 +104,9 @@
 
 
 class ControlPeersTests(unittest.TestCase):
-    """Control processes are found also after all known ones were replaced."""
+    """Control processes are found even after all known ones were replaced."""
 
-    def test_members_replace_what_was_known_at_the_start(self) -> None:
+    def test_members_replace_the_initial_addresses(self) -> None:
         peers = ControlPeers((FIRST,), "fd2")
         members = [
             MemberMessage(address="10.0.0.7:1", failure_domain="fd1"),
--- a/tests/following/test_watch_loss.py
+++ b/tests/following/test_watch_loss.py
@@ -1,10 +1,10 @@
-"""Tests of following control while some of its processes give no answer.
+"""Tests of the polls for control's state while some control processes do not answer.
 
-A proxy served by an old configuration for longer than a change may take to be in force.
-It polled a control process that had stopped answering, without a reset, gave that poll
-up 2 s after the second for which it may be held, and met the next process that was
-lost. In a day with one lost failure domain a view came into force 0.1 s after this
-line, while the other proxies had it a second and more before:
+A control process can stop answering without a connection reset. If a proxy gave up a
+poll only 2 s after the second for which it may be held, and the next process was lost
+as well, it would serve by an old configuration for longer than a change may take to be
+in force. When a failure domain is lost, such a proxy gets a view 0.1 s after this line,
+and a second or more after the other proxies:
 
     event=watch_failed reason="... Read timed out"
 """
@@ -22,13 +22,13 @@
 from dogwoodspool_following import ControlPeers, ViewStore, WatchCoordinator
 
 WAIT_MS = 1_000
-# Control processes, how many of them may be lost, and the seconds in which a change has
-# to be in force at the proxies that reach the others.
+# Number of control processes, how many of them may be lost, and the seconds within
+# which a change has to be in force at the proxies that reach the others.
 DEPLOYMENTS = ((3, 1, 3.0), (5, 2, 4.0))
 
 
 class SilentControl:
-    """Control processes of which some hold each poll for ever."""
+    """Fake control processes, some of which never answer a poll."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.silent: set[Address] = set()
@@ -38,7 +38,7 @@
     def get(
         self, address: Address, _path: str, query: dict[str, str], timeout: float
     ) -> dict[str, Any]:
-        """Answer a poll; the time that it takes passes on the clock."""
+        """Answer a poll and advance the clock by the time that it takes."""
         if address in self.silent:
             self._clock.advance(timeout)
             raise PeerUnreachableError("Read timed out")
@@ -53,15 +53,15 @@
 
 
 class SilentControlTests(unittest.TestCase):
-    """A change is in force in time wherever a current control process is reached."""
+    """A change is in force in time where an up-to-date process can be reached."""
 
-    def test_a_change_is_in_force_in_time_past_silent_processes(self) -> None:
-        """Guard against polls of silent processes that outlast the bound."""
+    def test_change_is_in_force_in_time_despite_silent_processes(self) -> None:
+        """Guard against polls of silent processes that exceed the time limit."""
         for count, lost, bound in DEPLOYMENTS:
             with self.subTest(processes=count, lost=lost):
-                self.assertLess(self.seconds_to_force(count, lost), bound)
+                self.assertLess(self.seconds_until_in_force(count, lost), bound)
 
-    def seconds_to_force(self, count: int, lost: int) -> float:
+    def seconds_until_in_force(self, count: int, lost: int) -> float:
         clock = ManualClock()
         control = SilentControl(clock)
         addresses = tuple(Address("10.0.0.1", port) for port in range(1, count + 1))
