--- a/packages/consensus/src/dogwoodspool_consensus/applier.py
+++ b/packages/consensus/src/dogwoodspool_consensus/applier.py
@@ -1,4 +1,4 @@
-"""Apply committed entries to the machine and take its snapshots."""
+"""Apply committed entries to the state machine and take its snapshots."""
 
 import json
 from collections.abc import Sequence
@@ -10,23 +10,29 @@
 
 
 class StateMachine(Protocol):
-    """What the log's commands change; the same on every node."""
+    """State that the commands of the log change; identical on every node."""
 
     def apply(self, index: int, command: dict[str, Any]) -> dict[str, Any]:
-        """Apply one command; deterministic, and never raises for a bad one."""
+        """Apply one command.
+
+        Implementations are deterministic and never raise for an invalid command.
+        """
         ...
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the whole state as JSON content."""
+        """Return the whole state as JSON-serializable content."""
         ...
 
     def restore(self, snapshot: dict[str, Any]) -> None:
-        """Replace the whole state by one that ``snapshot`` returned."""
+        """Replace the whole state with one returned by ``snapshot``."""
         ...
 
 
 class Applier:
-    """Drive the machine; only one thread calls it."""
+    """Apply entries to the state machine.
+
+    Only one thread may call it.
+    """
 
     def __init__(
         self, state: NodeState, machine: StateMachine, proposals: Proposals
@@ -37,7 +43,7 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether something committed is not applied yet."""
+        """Whether a committed entry or a received snapshot is not applied yet."""
         state = self._state
         if state.has_failed:
             return False
@@ -45,7 +51,7 @@
         return has_entries or state.snapshot_to_restore is not None
 
     def apply_committed(self) -> None:
-        """Restore a snapshot that came, or apply the next committed entries."""
+        """Restore a received snapshot, or apply the next committed entries."""
         state = self._state
         with state.changed:
             if not self.has_work:
@@ -60,10 +66,11 @@
             self.take_snapshot()
 
     def take_snapshot(self) -> None:
-        """Save the machine's state and drop the entries that it covers.
+        """Save the state machine's state and compact the log up to it.
 
-        Only the thread that applies takes snapshots, so the state is that after
-        ``last_applied``. The slow parts run without the lock.
+        Only the applier thread takes snapshots, so the state is the one after
+        ``last_applied``. Serializing and writing the state run without the lock, as
+        they are slow.
         """
         state = self._state
         with state.changed:
--- a/packages/consensus/src/dogwoodspool_consensus/codec.py
+++ b/packages/consensus/src/dogwoodspool_consensus/codec.py
@@ -1,4 +1,4 @@
-"""JSON content of what a node keeps and sends."""
+"""Conversion between the models and the JSON that a node stores and sends."""
 
 import json
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 def snapshot_to_json(snapshot: Snapshot) -> dict[str, Any]:
-    """Return a snapshot as JSON content."""
+    """Return a snapshot as JSON-serializable content."""
     return {
         "index": snapshot.index,
         "term": snapshot.term,
@@ -20,7 +20,7 @@
 
 
 def snapshot_from_json(content: Mapping[str, Any]) -> Snapshot:
-    """Read what ``snapshot_to_json`` wrote."""
+    """Parse the output of ``snapshot_to_json``."""
     return Snapshot(
         int(content["index"]),
         int(content["term"]),
@@ -30,7 +30,7 @@
 
 
 def entry_to_json(entry: Entry) -> dict[str, Any]:
-    """Return an entry as JSON content."""
+    """Return an entry as JSON-serializable content."""
     return {
         "index": entry.index,
         "term": entry.term,
@@ -40,7 +40,7 @@
 
 
 def entry_from_json(record: Mapping[str, Any]) -> Entry:
-    """Read what ``entry_to_json`` wrote."""
+    """Parse the output of ``entry_to_json``."""
     return Entry(
         int(record["index"]),
         int(record["term"]),
@@ -50,7 +50,7 @@
 
 
 def identity_to_json(identity: Identity) -> dict[str, Any]:
-    """Return an identity as JSON content."""
+    """Return an identity as JSON-serializable content."""
     voters = identity.initial_voters
     return {
         "node_id": identity.node_id,
@@ -62,7 +62,7 @@
 
 
 def identity_from_json(record: Mapping[str, Any]) -> Identity:
-    """Read what ``identity_to_json`` wrote."""
+    """Parse the output of ``identity_to_json``."""
     voters = record["initial_voters"]
     return Identity(
         str(record["node_id"]),
--- a/packages/consensus/src/dogwoodspool_consensus/configurations.py
+++ b/packages/consensus/src/dogwoodspool_consensus/configurations.py
@@ -1,4 +1,4 @@
-"""The configurations that the log holds."""
+"""History of the configurations in the log."""
 
 import json
 from collections.abc import Iterable
@@ -9,51 +9,51 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationAt:
-    """A configuration and the index of the entry that holds it."""
+    """A configuration and the index of its log entry."""
 
     index: int
     configuration: Configuration
 
 
 class ConfigurationHistory:
-    """Follow the newest configuration in the log, committed or not.
+    """Track the newest configuration in the log, committed or not.
 
-    A configuration counts from when it is appended, and an entry that is
-    truncated gives way to the configuration before it.
+    A configuration takes effect as soon as it is appended. When its entry is
+    truncated, the previous configuration takes effect again.
     """
 
     def __init__(self, base: ConfigurationAt, entries: Iterable[Entry]) -> None:
-        self._known = [base]
+        self._configurations = [base]
         self.add(entries)
 
     @property
     def current(self) -> Configuration:
         """The newest configuration."""
-        return self._known[-1].configuration
+        return self._configurations[-1].configuration
 
     @property
     def current_index(self) -> int:
-        """Index of the entry that holds the newest configuration."""
-        return self._known[-1].index
+        """Index of the log entry of the newest configuration."""
+        return self._configurations[-1].index
 
     def add(self, entries: Iterable[Entry]) -> None:
-        """Take in appended entries."""
+        """Record the configurations in appended entries."""
         for entry in entries:
             if entry.kind is EntryKind.CONFIGURATION:
                 content = Configuration.from_json(json.loads(entry.data))
-                self._known.append(ConfigurationAt(entry.index, content))
+                self._configurations.append(ConfigurationAt(entry.index, content))
 
     def truncate(self, index: int) -> None:
-        """Forget the configurations of entries from ``index`` on."""
-        while len(self._known) > 1 and self._known[-1].index >= index:
-            self._known.pop()
+        """Remove the configurations of entries from ``index`` on."""
+        while len(self._configurations) > 1 and self._configurations[-1].index >= index:
+            self._configurations.pop()
 
     def at(self, index: int) -> Configuration:
         """Return the configuration in force after the entry ``index``."""
-        known = [item for item in self._known if item.index <= index]
-        return (known[-1] if known else self._known[0]).configuration
+        known = [item for item in self._configurations if item.index <= index]
+        return (known[-1] if known else self._configurations[0]).configuration
 
     def install(self, base: ConfigurationAt, entries: Iterable[Entry]) -> None:
-        """Begin again behind a snapshot with the entries that follow it."""
-        self._known = [base]
+        """Restart from a snapshot's configuration and the entries that follow it."""
+        self._configurations = [base]
         self.add(entries)
--- a/packages/consensus/src/dogwoodspool_consensus/const.py
+++ b/packages/consensus/src/dogwoodspool_consensus/const.py
@@ -17,27 +17,27 @@
 FILE_LOG: Final = "log"
 FILE_SNAPSHOT: Final = "snapshot"
 FILE_PROBE: Final = "probe"
-# A few blocks: enough that a full disk refuses them.
+# Several file system blocks, so that the write fails on a full disk.
 PROBE_BYTES: Final = 64 * 1024
 TEMPORARY_SUFFIX: Final = ".tmp"
 
-SHORTEST_TICK_SECONDS: Final = 0.001
+MIN_TICK_SECONDS: Final = 0.001
 
-LEADER: Final = "leader"
-"""Key of the leader's name in the first entry of its term."""
+NOOP_LEADER_KEY: Final = "leader"
+"""Key of the leader's node id in the no-op entry that begins its term."""
 
 UNPINNED: Final = ""
-"""Incarnation of a member that the configuration has not pinned yet."""
+"""Incarnation of a member whose incarnation is not pinned by the configuration yet."""
 
 ENTRY_OVERHEAD_BYTES: Final = 96
-"""Room that one entry's index, term and kind take in a message."""
+"""Bytes that an entry's index, term and kind take in a message."""
 
 DEFAULT_ELECTION_TIMEOUT_MIN: Final = 0.6
 DEFAULT_ELECTION_TIMEOUT_MAX: Final = 1.2
 DEFAULT_HEARTBEAT_INTERVAL: Final = 0.1
-# Heartbeats of voters for each one of a learner, which still hears the leader within
-# the shortest election timeout.
-LEARNER_HEARTBEATS: Final = 3
+# A learner gets one heartbeat in the time in which a voter gets this many. It still
+# hears from the leader within the minimum election timeout.
+LEARNER_HEARTBEAT_FACTOR: Final = 3
 DEFAULT_CLOCK_DRIFT: Final = 0.02
 DEFAULT_LEASE_FRACTION: Final = 0.9
 DEFAULT_RPC_TIMEOUT: Final = 0.5
--- a/packages/consensus/src/dogwoodspool_consensus/diagnostics.py
+++ b/packages/consensus/src/dogwoodspool_consensus/diagnostics.py
@@ -1,4 +1,4 @@
-"""What a node shows to an operator."""
+"""Diagnostics of a node for operators."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerDiagnostics:
-    """A member as the leader sees it.
+    """The state of one member, as known to this node.
 
     Attributes:
-        lag: entries that the member lacks; None where this node does not lead.
-        silent_s: time since the last answered message, where there was one.
-        followed_s: time since this leader began to send it messages.
+        lag: number of log entries that the member lacks; None if this node is not the
+            leader.
+        silent_s: seconds since the last message that the member answered was sent;
+            None if there was none.
+        followed_s: seconds since this leader began to send messages to the member.
     """
 
     node_id: str
@@ -48,7 +50,7 @@
 
 
 def build_diagnostics(state: NodeState) -> ConsensusDiagnostics:
-    """Read the state of a node."""
+    """Build the diagnostics from the state of a node."""
     with state.changed:
         return ConsensusDiagnostics(
             node_id=state.node_id,
--- a/packages/consensus/src/dogwoodspool_consensus/election.py
+++ b/packages/consensus/src/dogwoodspool_consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: time-outs, pre-votes and votes."""
+"""Elections: timeouts, pre-votes and votes."""
 
 from dogwoodspool_common import log_event, log_rate_limited
 
@@ -12,35 +12,35 @@
 
 
 class Elections:
-    """Start elections, ask peers for votes and answer when they ask."""
+    """Start elections, request votes from peers and answer their vote requests."""
 
     def __init__(self, state: NodeState, caller: PeerCaller) -> None:
         self._state = state
         self._caller = caller
 
     def tick(self) -> None:
-        """Look at the clock: begin an election, or give up a lost leadership."""
+        """Start an election that is due, or step down when the quorum was lost."""
         state = self._state
         with state.changed:
             now = state.clock.now()
             if state.role is Role.LEADER:
                 self._check_quorum(now)
             elif now >= state.election_deadline and state.is_electable:
-                self._begin(is_pre_vote=True)
+                self._start_round(is_pre_vote=True)
 
-    def wants_vote(self, peer: str) -> bool:
-        """Tell whether a peer is to be asked in the current round."""
+    def should_request_vote(self, peer: str) -> bool:
+        """Return whether a peer has yet to be asked for its vote in this round."""
         current = self._state.round
         if current is None or peer in current.asked:
             return False
         return peer in self._state.configuration.voters
 
-    def ask(self, peer: str) -> None:
-        """Ask one peer for its vote in the current round."""
+    def request_vote(self, peer: str) -> None:
+        """Request the vote of one peer in the current round."""
         state = self._state
         with state.changed:
             current = state.round
-            if current is None or not self.wants_vote(peer):
+            if current is None or not self.should_request_vote(peer):
                 return
             current.asked.add(peer)
             request = VoteRequest(
@@ -57,14 +57,14 @@
                 state.become_follower(response.term)
             if response.is_granted and state.round is current:
                 current.granted[peer] = response.incarnation
-                self._count(current)
+                self._count_votes(current)
 
     def handle_vote(self, request: VoteRequest) -> VoteResponse:
-        """Answer a candidate."""
+        """Answer a vote request of a candidate."""
         state = self._state
         with state.changed:
             check_request(state, request)
-            refusal = self._decide(request)
+            refusal = self._decide_vote(request)
             if refusal is not None:
                 self._log_refusal(request, refusal)
             return VoteResponse(
@@ -74,8 +74,8 @@
             )
 
     def _check_quorum(self, now: float) -> None:
-        # A leader that a quorum no longer follows would let proposals wait for
-        # nothing; callers are better served by a refusal at once.
+        # Without a quorum of followers proposals would wait without ever being
+        # committed. Stepping down refuses them at once.
         state = self._state
         contact = max(state.quorum_contact(), state.leader_since)
         if now - contact >= state.settings.election_timeout_max:
@@ -87,7 +87,7 @@
             log_event("left_cluster", node=state.node_id, term=state.term)
             state.become_follower(state.term)
 
-    def _begin(self, *, is_pre_vote: bool) -> None:
+    def _start_round(self, *, is_pre_vote: bool) -> None:
         state = self._state
         state.leader_id = state.leader_address = None
         term = state.term + 1
@@ -100,28 +100,28 @@
             "election_began", node=state.node_id, term=term, is_pre_vote=is_pre_vote
         )
         if is_pre_vote:
-            state.retry_pre_vote()
+            state.schedule_pre_vote_retry()
         else:
-            state.retry_election()
+            state.schedule_election_retry()
         state.changed.notify_all()
-        self._count(state.round)
+        self._count_votes(state.round)
 
-    def _count(self, current: VoteRound) -> None:
+    def _count_votes(self, current: VoteRound) -> None:
         state = self._state
         voters = state.configuration.voters
         if len(voters & current.granted.keys()) < state.configuration.quorum:
             return
         if current.is_pre_vote:
-            self._begin(is_pre_vote=False)
+            self._start_round(is_pre_vote=False)
         else:
             state.become_leader(current.granted)
 
-    def _decide(self, request: VoteRequest) -> VoteRefusal | None:
-        """Give the vote, or tell why not."""
+    def _decide_vote(self, request: VoteRequest) -> VoteRefusal | None:
+        """Grant the vote and return None, or return why it is refused."""
         state = self._state
         if not self._may_vote(request):
             return VoteRefusal.NOT_PINNED
-        if self._hears_leader(request.source):
+        if self._has_live_leader(request.source):
             return VoteRefusal.HEARS_LEADER
         is_current = (request.last_term, request.last_index) >= (
             state.log.last_term,
@@ -132,7 +132,7 @@
                 return VoteRefusal.OLD_TERM
             if not is_current:
                 return VoteRefusal.LOG_BEHIND
-            state.yield_election()
+            state.defer_to_candidate()
             return None
         if request.term > state.term:
             state.become_follower(request.term)
@@ -161,10 +161,10 @@
         )
 
     def _may_vote(self, request: VoteRequest) -> bool:
-        # A voter that lost its files has forgotten its votes and entries. It
-        # shows by an incarnation that no configuration pins, so it may vote
-        # only when the candidate's configuration pins this very incarnation,
-        # or at the birth of the cluster, when none is pinned yet.
+        # A voter that lost its files has lost its votes and entries too. It then has
+        # a new incarnation that no configuration pins. So it may vote only if the
+        # candidate's configuration pins its present incarnation, or while the cluster
+        # is being bootstrapped and no incarnation is pinned yet.
         state = self._state
         if state.is_refused:
             return False
@@ -174,15 +174,16 @@
             return is_unpinned and state.identity.initial_voters is not None
         return True
 
-    def _hears_leader(self, candidate: str) -> bool:
-        # The leader's lease rests on this refusal: see NodeState.lease_end. It
-        # also keeps a node that was cut off from disturbing a healthy leader.
+    def _has_live_leader(self, candidate: str) -> bool:
+        # The safety of the leader's lease depends on this refusal: see
+        # NodeState.lease_end. It also prevents a node that was partitioned from
+        # disrupting a healthy leader.
         state = self._state
-        # Who led the newest term itself asks for votes in a later one: it has given
-        # up its place, and nobody else can have had it.
         now = state.clock.now()
         if state.role is Role.LEADER:
             return now < state.lease_end()
+        # A candidate that led the newest term has stepped down to ask for votes in a
+        # later one, and no other node can have led that term.
         if state.leader_id == candidate:
             return False
-        return now - state.last_heard < state.settings.election_timeout_min
+        return now - state.last_leader_contact < state.settings.election_timeout_min
--- a/packages/consensus/src/dogwoodspool_consensus/errors.py
+++ b/packages/consensus/src/dogwoodspool_consensus/errors.py
@@ -4,27 +4,29 @@
 
 
 class ConsensusError(DogwoodspoolError):
-    """Base of the errors of the replicated log."""
+    """Base class of the errors of the replicated log."""
 
 
 class NotLeaderError(ConsensusError):
-    """Report that a proposal surely has no effect: it is not in the log.
+    """Report that this node is not the leader or cannot accept the request.
+
+    A proposal that fails with this error is not committed and never will be.
 
     Attributes:
-        leader: address of the leader as far as this node knows it.
+        leader: address of the leader that this node knows; None if it knows none.
     """
 
     def __init__(self, leader: Address | None) -> None:
-        super().__init__(f"not appended by this node; the leader is {leader}")
+        super().__init__(f"request not accepted; known leader: {leader}")
         self.leader = leader
 
 
 class OutcomeUnknownError(ConsensusError):
-    """Report that a proposal is in a log and may or may not be committed."""
+    """Report a proposal that was appended and may or may not be committed."""
 
 
 class NotConfirmedError(ConsensusError):
-    """Report that no quorum confirmed a read in time."""
+    """Report a read that no quorum confirmed before its deadline."""
 
 
 class ProposalRefusedError(ConsensusError):
@@ -32,14 +34,14 @@
 
 
 class MembershipChangeError(ConsensusError):
-    """Report a change of voters that is not allowed now or ever."""
+    """Report a membership change that is refused, now or permanently."""
 
 
 class PeerCallError(ConsensusError):
-    """Report a call to a peer without an answer that can be used.
+    """Report a call to a peer that failed or was refused.
 
     Attributes:
-        code: the peer's reason when it refused; None when no answer came.
+        code: error code of the peer's refusal; None if no answer arrived.
     """
 
     def __init__(self, message: str, code: str | None = None) -> None:
@@ -48,10 +50,10 @@
 
 
 class IdentityRefusedError(ConsensusError):
-    """Report a message between nodes that are not who the configuration pins.
+    """Report a message whose sender or receiver is not the pinned member.
 
     Attributes:
-        code: whether the sender or the receiver is the wrong one.
+        code: ``CODE_SOURCE_REFUSED`` or ``CODE_TARGET_MISMATCH``.
     """
 
     def __init__(self, message: str, code: str) -> None:
@@ -60,12 +62,15 @@
 
 
 class StorageError(ConsensusError):
-    """Base of the errors of durable files."""
+    """Base class of the errors of durable files."""
 
 
 class StorageCorruptError(StorageError):
-    """Report files whose content cannot be trusted; the node must not start."""
+    """Report files with corrupt or inconsistent content.
+
+    A node must not start on such files.
+    """
 
 
 class StorageFailedError(StorageError):
-    """Report a failed write or sync: the disk counts as lost."""
+    """Report a failed write or sync, after which the disk is treated as lost."""
--- a/packages/consensus/src/dogwoodspool_consensus/files.py
+++ b/packages/consensus/src/dogwoodspool_consensus/files.py
@@ -1,4 +1,4 @@
-"""Replace files so that a crash leaves the old or the new content."""
+"""Atomic replacement of files."""
 
 import os
 from pathlib import Path
@@ -7,9 +7,9 @@
 
 
 def replace_file(path: Path, content: bytes) -> None:
-    """Write a file so that a crash leaves the old or the new content whole.
+    """Replace a file atomically: a crash leaves its old or its new content.
 
-    The folder is synced too: until then the new name may be lost in a crash.
+    The folder is synced too, as a crash before that may undo the rename.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     with temporary.open("wb") as file:
--- a/packages/consensus/src/dogwoodspool_consensus/leader_probe.py
+++ b/packages/consensus/src/dogwoodspool_consensus/leader_probe.py
@@ -1,4 +1,4 @@
-"""Ask, after a start, whether the process that led before still runs."""
+"""Probe, after a start, whether the previous leader's process still runs."""
 
 from dogwoodspool_common.const import NEVER
 
@@ -12,13 +12,14 @@
 
 
 class LeaderProbe:
-    """Call the leader that the log names until anything is known of it.
-
-    A voter that starts must take that leader for alive, and refuses votes for an
-    election timeout, for its lease may rest on an answer that the voter gave before
-    it stopped. Another process at the leader's address proves that the leader has
-    ended, and its lease with it (``NodeState.note_ended``). After a loss of power that
-    took the leader's disk, the others elect 0.65 s sooner for it.
+    """Call the leader named in the log until this node hears from a leader.
+
+    A voter that starts must assume that this leader is alive and refuse votes for an
+    election timeout, because the leader's lease may depend on a response that the
+    voter gave before it stopped. Another process at the leader's address proves that
+    the leader's process, and its lease with it, has ended
+    (``NodeState.record_process_ended``). After a power loss that also destroyed the
+    leader's disk, this makes the election 0.65 s earlier.
     """
 
     def __init__(self, state: NodeState, caller: PeerCaller) -> None:
@@ -26,8 +27,11 @@
         self._caller = caller
         self._next_at = NEVER
 
-    def due(self, peer: str) -> float:
-        """Return the clock time of the next question to a peer; the lock is held."""
+    def next_send(self, peer: str) -> float:
+        """Return the clock time of the next probe of a peer.
+
+        The caller holds the lock.
+        """
         state = self._state
         is_unheard = state.leader_id == peer and state.leader_address is None
         if state.role is not Role.FOLLOWER or not is_unheard:
@@ -35,7 +39,11 @@
         return self._next_at
 
     def send(self, peer: str) -> None:
-        """Ask once. An answer changes nothing: a leader sends heartbeats anyway."""
+        """Send one probe.
+
+        A valid response is ignored, as a live leader sends heartbeats anyway. Only a
+        refused identity matters, which ``PeerCaller`` handles.
+        """
         state = self._state
         with state.changed:
             interval = state.settings.heartbeat_interval
--- a/packages/consensus/src/dogwoodspool_consensus/log.py
+++ b/packages/consensus/src/dogwoodspool_consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory, kept in step with its storage."""
+"""The in-memory log, kept in sync with its storage."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,10 @@
 
 
 class ReplicatedLog:
-    """Hold the entries after the base; the caller holds the node's lock."""
+    """Hold the entries after the base.
+
+    The caller holds the node's lock.
+    """
 
     def __init__(
         self, storage: LogStorage, base: LogBase, entries: Sequence[Entry]
@@ -20,7 +23,7 @@
 
     @property
     def base(self) -> LogBase:
-        """The entry right before the first one held."""
+        """Index and term of the entry right before the first one held."""
         return self._base
 
     @property
@@ -34,7 +37,7 @@
         return self._entries[-1].term if self._entries else self._base.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry; None when the log does not hold it."""
+        """Return the term of an entry; None if the log does not hold it."""
         if index == self._base.index:
             return self._base.term
         if not self._base.index < index <= self.last_index:
@@ -44,7 +47,10 @@
     def entries_from(
         self, index: int, max_entries: int, max_bytes: int
     ) -> tuple[Entry, ...]:
-        """Return entries from ``index`` on, at least one where there is one."""
+        """Return entries from ``index`` on within both limits.
+
+        At least one entry is returned if there is one, even above ``max_bytes``.
+        """
         start = index - self._base.index - 1
         chosen: list[Entry] = []
         size = 0
@@ -60,7 +66,7 @@
         return tuple(self._entries)
 
     def last_noop(self) -> Entry | None:
-        """Return the newest first entry of a leader; None when none is held."""
+        """Return the newest no-op entry, which begins a leader's term; None if none."""
         for entry in reversed(self._entries):
             if entry.kind is EntryKind.NOOP:
                 return entry
@@ -77,7 +83,7 @@
         self.durable_index = self.last_index
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first index held of the term of the entry at ``index``."""
+        """Return the first held index with the same term as the entry at ``index``."""
         term = self.term_at(index)
         while index - 1 > self._base.index and self.term_at(index - 1) == term:
             index -= 1
@@ -90,7 +96,7 @@
         self.durable_index = min(self.durable_index, self.last_index)
 
     def compact(self, index: int) -> None:
-        """Drop the entries up to ``index``, which a snapshot holds."""
+        """Drop the entries up to ``index``, which a snapshot covers."""
         term = self.term_at(index)
         if term is None or index <= self._base.index:
             return
@@ -98,7 +104,11 @@
         self._replace(LogBase(index, term), kept)
 
     def install(self, base: LogBase) -> None:
-        """Go on behind a snapshot, keeping only what is known to follow it."""
+        """Continue after a snapshot.
+
+        Later entries are kept only if the log holds the snapshot's last entry, which
+        proves that they follow it.
+        """
         if self.term_at(base.index) == base.term:
             self.compact(base.index)
         else:
--- a/packages/consensus/src/dogwoodspool_consensus/membership.py
+++ b/packages/consensus/src/dogwoodspool_consensus/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the voters, one at a time."""
+"""Membership changes, one at a time."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -14,31 +14,32 @@
 
 
 class Membership:
-    """Add and remove voters through entries of the log.
+    """Add and remove members through configuration entries in the log.
 
-    Two configurations that differ by one voter have no two quorums without a
-    common node, so a change needs no joint phase; but the next one must wait
-    until the one before is committed, and the first until the leader has
-    committed an entry of its own term.
+    Any two quorums of configurations that differ by one voter overlap, so a change
+    needs no joint consensus. But each change must wait until the previous one is
+    committed, and the first one until the leader has committed an entry of its own
+    term.
     """
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
-        self._busy = threading.Lock()
+        self._change_lock = threading.Lock()
 
     def add_voter(self, node_id: str, address: Address, timeout: float) -> None:
-        """Add a node as learner and make it a voter once it has caught up.
+        """Add a node as a learner and make it a voter once it has caught up.
 
-        The call may be repeated: it goes on where it stopped.
+        The call may be repeated and then continues where it stopped.
 
         Raises:
-            NotLeaderError: this node does not lead; nothing was changed.
-            MembershipChangeError: the change is not allowed, or the learner has
-                not caught up in time and stays a learner.
-            OutcomeUnknownError: the change was appended, its fate is unknown.
+            NotLeaderError: this node is not the leader; nothing was changed.
+            MembershipChangeError: the change is not allowed, or the learner did
+                not catch up within ``timeout`` seconds and stays a learner.
+            OutcomeUnknownError: the change was appended and may or may not be
+                committed.
         """
-        with self._one_change(timeout) as deadline:
-            member = self._known(node_id, address)
+        with self._exclusive_change(timeout) as deadline:
+            member = self._find_member(node_id, address)
             if member is not None and member.is_voter:
                 return
             if member is None:
@@ -50,12 +51,12 @@
     def add_learner(
         self, node_id: str, address: Address, failure_domain: str, timeout: float
     ) -> None:
-        """Add a node that follows the log without a vote, or say where one runs.
+        """Add a non-voting member, or update the failure domain of a member.
 
-        Errors as for ``add_voter``.
+        Raises the same errors as ``add_voter``.
         """
-        with self._one_change(timeout) as deadline:
-            member = self._known(node_id, address)
+        with self._exclusive_change(timeout) as deadline:
+            member = self._find_member(node_id, address)
             if member is None:
                 self._append_learner(node_id, address, deadline, failure_domain)
                 log_event("learner_added", member=node_id, address=address)
@@ -65,44 +66,44 @@
                 self._wait_committed(deadline)
 
     def demote_voter(self, node_id: str, timeout: float) -> None:
-        """Take a voter's vote; it goes on to follow the log as a learner.
+        """Turn a voter into a learner, which still replicates the log.
 
         It keeps its identity and files, so that it may become a voter again once
-        it is back. Errors as for ``add_voter``.
+        it is back. Raises the same errors as ``add_voter``.
         """
-        with self._one_change(timeout) as deadline:
+        with self._exclusive_change(timeout) as deadline:
             configuration = self._state.configuration
             member = configuration.members.get(node_id)
             if member is None or not member.is_voter:
                 return
             if configuration.voters == {node_id}:
-                raise MembershipChangeError("the last voter cannot be demoted")
+                raise MembershipChangeError(f"last voter {node_id} cannot be demoted")
             self._set_voter(node_id, deadline, is_voter=False)
             log_event("voter_demoted", member=node_id)
 
     def remove_voter(self, node_id: str, timeout: float) -> None:
-        """Remove a voter or learner; its id is never used again.
+        """Remove a voter or learner and retire its id.
 
-        Errors as for ``add_voter``. A leader that removes itself leads until
-        the change is committed.
+        A leader that removes itself leads until the change is committed. Raises the
+        same errors as ``add_voter``.
         """
-        with self._one_change(timeout) as deadline:
+        with self._exclusive_change(timeout) as deadline:
             configuration = self._state.configuration
             if node_id not in configuration.members:
                 return
             remaining = configuration.without(node_id)
             if not remaining.voters:
-                raise MembershipChangeError("the last voter cannot be removed")
+                raise MembershipChangeError(f"last voter {node_id} cannot be removed")
             self._change(remaining)
             self._wait_committed(deadline)
             log_event("voter_removed", member=node_id)
 
     @contextmanager
-    def _one_change(self, timeout: float) -> Iterator[float]:
+    def _exclusive_change(self, timeout: float) -> Iterator[float]:
         state = self._state
         deadline = state.clock.now() + timeout
-        if not self._busy.acquire(blocking=False):
-            raise MembershipChangeError("another change of voters is under way")
+        if not self._change_lock.acquire(blocking=False):
+            raise MembershipChangeError("another membership change is in progress")
         try:
             with state.changed:
                 if state.leadership() is None:
@@ -110,16 +111,18 @@
                 self._wait_committed(deadline)
                 yield deadline
         finally:
-            self._busy.release()
+            self._change_lock.release()
 
-    def _known(self, node_id: str, address: Address) -> Member | None:
-        """Return a member under its id; raise where the id belongs to another."""
+    def _find_member(self, node_id: str, address: Address) -> Member | None:
+        """Return the member with an id, if any; raise if the id is not usable."""
         configuration = self._state.configuration
         if node_id in configuration.retired:
-            raise MembershipChangeError(f"{node_id} was removed; use a new id")
+            raise MembershipChangeError(f"{node_id} was removed before; use a new id")
         member = configuration.members.get(node_id)
         if member is not None and member.address != address:
-            raise MembershipChangeError(f"{node_id} is at {member.address}")
+            raise MembershipChangeError(
+                f"{node_id} is a member at {member.address}, not at {address}"
+            )
         return member
 
     def _append_learner(
@@ -142,7 +145,9 @@
         state = self._state
         index = state.configurations.current_index
         if not self._wait(lambda: state.commit_index >= index, deadline):
-            raise OutcomeUnknownError("the change was not committed in time")
+            raise OutcomeUnknownError(
+                f"configuration entry {index} was not committed before the deadline"
+            )
 
     def _wait_caught_up(self, node_id: str, deadline: float) -> None:
         state = self._state
@@ -154,8 +159,10 @@
             return member.incarnation != UNPINNED and lag <= state.settings.max_batch
 
         if not self._wait(is_caught_up, deadline):
-            raise MembershipChangeError(f"{node_id} is a learner and still behind")
-        # Pinning the learner appended a configuration of its own.
+            raise MembershipChangeError(
+                f"{node_id} did not catch up in time and stays a learner"
+            )
+        # Pinning the learner's incarnation appended another configuration.
         self._wait_committed(deadline)
 
     def _wait(self, is_met: Callable[[], bool], deadline: float) -> bool:
@@ -163,7 +170,9 @@
         term = state.term
         while not is_met():
             if state.role is not Role.LEADER or state.term != term:
-                raise OutcomeUnknownError("this node lost its leadership")
+                raise OutcomeUnknownError(
+                    f"{state.node_id} is not the leader of term {term} any more"
+                )
             remaining = deadline - state.clock.now()
             if remaining <= 0 or state.is_closed:
                 return False
--- a/packages/consensus/src/dogwoodspool_consensus/messages.py
+++ b/packages/consensus/src/dogwoodspool_consensus/messages.py
@@ -11,11 +11,11 @@
 
 
 class PeerRequest(Message):
-    """Who sends to whom, and in which term.
+    """Fields common to all requests: sender, receiver and term.
 
     Attributes:
         target_incarnation: incarnation that the sender's configuration pins
-            for the receiver; empty while none is pinned.
+            for the receiver; empty if none is pinned yet.
     """
 
     source: Name
@@ -33,7 +33,10 @@
 
 
 class VoteRequest(PeerRequest):
-    """A candidate asks for a vote; a pre-vote changes nothing at the voter."""
+    """Request of a candidate for a vote.
+
+    A pre-vote does not change the voter's term or vote.
+    """
 
     last_index: Index
     last_term: Index
@@ -41,13 +44,13 @@
 
 
 class VoteResponse(PeerResponse):
-    """Whether the vote was given."""
+    """Whether the vote was granted."""
 
     is_granted: bool
 
 
 class EntryMessage(Message):
-    """A log entry; its index follows from its place in the message."""
+    """A log entry; its index follows from its position in the request."""
 
     term: Index
     kind: EntryKind
@@ -55,12 +58,12 @@
 
     @classmethod
     def of(cls, entry: Entry) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from a log entry."""
         return cls(term=entry.term, kind=entry.kind, data=entry.data)
 
 
 class AppendRequest(PeerRequest):
-    """The leader sends entries; without any it is a heartbeat."""
+    """Entries from the leader; a request without entries is a heartbeat."""
 
     leader_address: HostPort
     prev_index: Index
@@ -80,7 +83,8 @@
     """Whether the entries are durable at the follower.
 
     Attributes:
-        last_index: where the leader should look next when they are not.
+        last_index: index at which the leader should look for a common entry next if
+            they are not.
     """
 
     is_success: bool
@@ -88,7 +92,7 @@
 
 
 class SnapshotRequest(PeerRequest):
-    """One chunk of a snapshot's text."""
+    """One chunk of an encoded snapshot."""
 
     leader_address: HostPort
     index: Index
@@ -98,16 +102,16 @@
 
 
 class SnapshotResponse(PeerResponse):
-    """Offset at which the follower wants the next chunk."""
+    """Offset at which the follower expects the next chunk."""
 
     next_offset: Index
 
 
 class ReadRequest(PeerRequest):
-    """A follower asks the leader for a point that it may read from."""
+    """Request of a follower to the leader for a read point."""
 
 
 class ReadResponse(PeerResponse):
-    """Log index which a reader must have applied."""
+    """Read point: the log index that must be applied before the read."""
 
     index: Index
--- a/packages/consensus/src/dogwoodspool_consensus/models.py
+++ b/packages/consensus/src/dogwoodspool_consensus/models.py
@@ -27,7 +27,7 @@
 
 
 class Role(StrEnum):
-    """What a node is in its current term."""
+    """Role of a node in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -35,15 +35,16 @@
 
 
 class VoteRefusal(StrEnum):
-    """Why a candidate does not get a vote.
+    """Why a vote request is refused.
 
     Attributes:
-        NOT_PINNED: the voter or the candidate lost the files that it is known by.
-        HEARS_LEADER: the voter heard a leader within the shortest election timeout,
-            or may have heard one just before it started.
+        NOT_PINNED: the voter was refused as one that lost its files, or the candidate
+            pins no incarnation for it, as after the loss of the candidate's files.
+        HEARS_LEADER: the voter heard from a leader within the minimum election
+            timeout, or may have heard from one just before it started.
         OLD_TERM: the voter knows a newer term.
         LOG_BEHIND: the candidate lacks entries that the voter has.
-        VOTED_FOR_ANOTHER: the voter's vote of this term is given.
+        VOTED_FOR_ANOTHER: the voter has voted for another candidate in this term.
     """
 
     NOT_PINNED = "not_pinned"
@@ -54,7 +55,7 @@
 
 
 class EntryKind(StrEnum):
-    """What a log entry holds."""
+    """Kind of a log entry."""
 
     NOOP = "noop"
     COMMAND = "command"
@@ -73,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A node of the configuration.
+    """A member of the configuration.
 
     Attributes:
-        incarnation: the durable identity that the configuration pins; empty
-            until the first answer of the node.
-        is_voter: False for a learner, which counts for no quorum.
-        failure_domain: where it runs; empty until it has said so.
+        incarnation: durable identity of the node, pinned at its first response; empty
+            until then.
+        is_voter: False for a learner, which does not count towards a quorum.
+        failure_domain: where the node runs; empty until it is known.
     """
 
     address: Address
@@ -93,7 +94,7 @@
     """The nodes that replicate the log.
 
     Attributes:
-        retired: ids of removed nodes, which are never used again.
+        retired: ids of removed nodes, which may not be reused.
     """
 
     members: Mapping[str, Member] = field(default_factory=dict)
@@ -101,22 +102,22 @@
 
     @property
     def voters(self) -> frozenset[str]:
-        """Ids of the members that count for a quorum."""
+        """Ids of the members that count towards a quorum."""
         return frozenset(name for name, node in self.members.items() if node.is_voter)
 
     @property
     def quorum(self) -> int:
-        """Number of voters that make a majority."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @classmethod
     def of(cls, voters: Mapping[str, Address]) -> Self:
-        """Build the first configuration, with no incarnation pinned."""
+        """Build the initial configuration, with no incarnation pinned."""
         return cls({name: Member(address) for name, address in voters.items()})
 
     @classmethod
     def from_json(cls, content: Mapping[str, Any]) -> Self:
-        """Read what ``to_json`` wrote."""
+        """Parse the output of ``to_json``."""
         members = {
             name: Member(
                 Address.parse(node["address"]),
@@ -129,7 +130,7 @@
         return cls(members, frozenset(content["retired"]))
 
     def to_json(self) -> dict[str, Any]:
-        """Return the configuration as JSON content."""
+        """Return the configuration as JSON-serializable content."""
         members = {
             name: {
                 "address": str(node.address),
@@ -146,7 +147,7 @@
         return replace(self, members={**self.members, name: member})
 
     def with_pins(self, incarnations: Mapping[str, str]) -> "Configuration":
-        """Return the configuration with the incarnations that it lacks pinned."""
+        """Return the configuration with incarnations pinned where it has none."""
         members = {
             name: replace(node, incarnation=incarnations[name])
             if node.incarnation == UNPINNED and name in incarnations
@@ -163,12 +164,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who the owner of a data folder is.
+    """Identity of the node that owns a data folder.
 
     Attributes:
-        incarnation: random, made once for each data folder.
+        incarnation: random id, generated once for each data folder.
         initial_voters: the voters given at bootstrap; None for a node that
-            joins a cluster which exists already.
+            joins an existing cluster.
     """
 
     node_id: str
@@ -186,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogBase:
-    """The entry right before the first one that a log still holds."""
+    """Index and term of the entry right before the first one that a log holds."""
 
     index: int = 0
     term: int = 0
@@ -194,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The machine's state after the entry ``index``; ``state`` is JSON text."""
+    """State of the state machine after entry ``index``; ``state`` is JSON text."""
 
     index: int
     term: int
@@ -204,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a storage held when it was opened."""
+    """Content of a storage when it was opened."""
 
     identity: Identity | None = None
     vote: Vote = Vote()
@@ -215,12 +216,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """The right to answer as leader.
+    """The right to answer as leader for a limited time.
 
     Attributes:
         since: ``clock.now()`` when this node became leader.
-        valid_until: ``clock.now()`` from which another node may lead. Whoever
-            holds this object compares it with the clock when it answers.
+        valid_until: ``clock.now()`` from which another node may lead. The holder of
+            this object must compare it with the clock when it answers.
     """
 
     term: int
@@ -230,25 +231,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusSettings:
-    """Times (seconds) and bounds of one node; the same on all nodes.
+    """Times in seconds and limits of a node; they must be the same on all nodes.
 
     Attributes:
-        election_timeout_min: a follower refuses votes for this long after it
-            heard from a leader; the leader's lease is derived from it.
+        election_timeout_min: time for which a follower refuses votes after it heard
+            from a leader; the leader's lease is derived from it.
         election_timeout_max: upper end of the randomized election timeout.
-        heartbeat_interval: time between messages to an idle peer.
-        clock_drift: largest difference in rate of a clock to real time.
-        lease_fraction: part of the minimum election timeout that the lease
-            uses at most.
-        rpc_timeout: wait for one answer of a peer.
-        snapshot_every: applied entries between two snapshots.
-        log_kept: entries kept behind a snapshot for peers a little behind.
-        max_batch: entries in one sync and in one message.
-        max_batch_bytes: bytes of entries in one message, but always one entry.
-        max_command_bytes: largest command, encoded.
+        heartbeat_interval: time between messages to an idle voter.
+        clock_drift: maximum relative difference between the rate of a clock and real
+            time.
+        lease_fraction: maximum fraction of the minimum election timeout that the
+            lease uses.
+        rpc_timeout: timeout of one call to a peer.
+        snapshot_every: number of applied entries between two snapshots.
+        log_kept: number of entries before a snapshot that stay in the log for peers
+            that are only slightly behind.
+        max_batch: maximum entries in one sync and in one message.
+        max_batch_bytes: maximum bytes of entries in one message, except that a
+            message may always carry one entry.
+        max_command_bytes: maximum size of an encoded command.
         snapshot_chunk_bytes: bytes of a snapshot in one message.
-        max_snapshot_bytes: largest snapshot that a node takes from a peer.
-        max_pending: proposals that may wait for the log.
+        max_snapshot_bytes: maximum size of a snapshot accepted from a peer.
+        max_pending: maximum number of proposals waiting to be appended.
     """
 
     election_timeout_min: float = DEFAULT_ELECTION_TIMEOUT_MIN
@@ -267,21 +271,29 @@
     max_pending: int = DEFAULT_MAX_PENDING
 
     def __post_init__(self) -> None:
-        """Refuse values under which the lease would not be safe."""
+        """Reject values for which the lease would not be safe."""
         if not 0 < self.heartbeat_interval < self.election_timeout_min:
-            raise ValueError("heartbeat_interval must be below election_timeout_min")
+            raise ValueError(
+                f"heartbeat_interval {self.heartbeat_interval} must be above 0 and "
+                f"below election_timeout_min {self.election_timeout_min}"
+            )
         if self.election_timeout_max <= self.election_timeout_min:
-            raise ValueError("election_timeout_max must be above election_timeout_min")
+            raise ValueError(
+                f"election_timeout_max {self.election_timeout_max} must be above "
+                f"election_timeout_min {self.election_timeout_min}"
+            )
         if not 0 <= self.clock_drift < 1 or not 0 < self.lease_fraction <= 1:
-            raise ValueError("clock_drift or lease_fraction is out of range")
+            raise ValueError(
+                f"clock_drift {self.clock_drift} must be in [0, 1) and "
+                f"lease_fraction {self.lease_fraction} in (0, 1]"
+            )
 
     @property
     def lease(self) -> float:
-        """Life of the leader's lease in seconds on the leader's clock.
+        """Duration of the leader's lease in seconds on the leader's clock.
 
-        A follower's clock that runs fast ends its refusal of votes early and a
-        leader's clock that runs slow ends the lease late, so the drift counts
-        on both sides.
+        A fast clock of a follower ends its refusal of votes early, and a slow clock
+        of the leader ends the lease late, so the drift applies to both sides.
         """
         drift = (1 - self.clock_drift) / (1 + self.clock_drift)
         return self.election_timeout_min * self.lease_fraction * drift
--- a/packages/consensus/src/dogwoodspool_consensus/node.py
+++ b/packages/consensus/src/dogwoodspool_consensus/node.py
@@ -1,4 +1,4 @@
-"""One node of the replicated log."""
+"""A node of the replicated log."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -57,19 +57,19 @@
 
 
 class ConsensusNode:
-    """Replicate commands to a machine on several nodes.
+    """Replicate commands to a state machine on several nodes.
 
     Args:
-        node_id: name of this node, never used again once it was removed or has
-            lost its files.
-        address: where the peers reach the routes of this node.
-        initial_voters: the first voters, this node included; used only with
+        node_id: name of this node; it must not be reused once the node was removed or
+            has lost its files.
+        address: address at which the peers reach the routes of this node.
+        initial_voters: the initial voters, including this node; used only with
             ``bootstrap`` and only while the storage is empty.
-        bootstrap: the operator's word that this is the birth of the cluster. It
-            is given once, to each of the first voters. Without it a node with
-            an empty storage waits, without a vote, until ``add_voter`` names it.
-        started_at: clock time before which this process did not run; None counts
-            from when it loads its storage.
+        bootstrap: whether the operator is creating the cluster now. It is set once,
+            for each of the initial voters. Without it a node with an empty storage
+            waits, without voting, until ``add_voter`` names it.
+        started_at: clock time before which this process did not run; None for the
+            time at which it loads its storage.
 
     Example:
         >>> node.set_up()
@@ -92,7 +92,7 @@
         started_at: float | None = None,
     ) -> None:
         if bootstrap and node_id not in initial_voters:
-            raise ValueError(f"{node_id} is none of the initial voters")
+            raise ValueError(f"{node_id} is not one of the initial voters")
         self._initial_voters = initial_voters
         self._bootstrap = bootstrap
         self._state = NodeState(
@@ -131,32 +131,35 @@
 
     @property
     def last_applied(self) -> int:
-        """Index of the last entry applied to the machine."""
+        """Index of the last entry applied to the state machine."""
         with self._state.changed:
             return self._state.last_applied
 
     @property
     def is_following(self) -> bool:
-        """Whether this node leads, or heard from a leader within its timeout."""
+        """Whether this node leads with a lease or has recently heard from a leader.
+
+        Recently is within the maximum election timeout.
+        """
         state = self._state
         with state.changed:
             if state.role is Role.LEADER:
                 return state.leadership() is not None
-            elapsed = state.clock.now() - state.last_heard
+            elapsed = state.clock.now() - state.last_leader_contact
             is_recent = elapsed < state.settings.election_timeout_max
             return state.leader_id is not None and is_recent
 
     @property
     def leader_address(self) -> Address | None:
-        """Address of the leader that this node follows or is."""
+        """Address of the current leader, which may be this node; None if unknown."""
         with self._state.changed:
             return self._state.leader_address
 
     def set_up(self) -> None:
-        """Load the files and begin to take part.
+        """Load the files and start the threads.
 
         Raises:
-            StorageCorruptError: the files cannot be trusted.
+            StorageCorruptError: the files are corrupt or inconsistent.
         """
         self.load()
         self._threads.set_up()
@@ -174,47 +177,54 @@
         """Append a command and return the result of ``StateMachine.apply``.
 
         Raises:
-            NotLeaderError: the command is surely not in the log.
-            OutcomeUnknownError: it was appended and its fate is unknown.
-            ProposalRefusedError: it is too large or no JSON.
+            NotLeaderError: the command is not committed and never will be.
+            OutcomeUnknownError: it was appended and may or may not be committed.
+            ProposalRefusedError: it is too large or cannot be encoded as JSON.
         """
         return self._proposals.propose(command, timeout)
 
     def submit(self, command: dict[str, Any]) -> Proposal:
-        """Queue a command without waiting; errors as for ``propose``."""
+        """Queue a command without waiting for its outcome.
+
+        The errors of ``propose`` are raised here or by ``Proposal.result``.
+        """
         return self._proposals.submit(command)
 
     def leadership(self) -> Leadership | None:
-        """Return this node's right to answer as leader at this moment."""
+        """Return this node's current right to answer as leader; None if it has none."""
         with self._state.changed:
             return self._state.leadership()
 
     def confirm_read(self, timeout: float) -> int:
-        """Return an applied index that covers all answered before this call.
+        """Return an applied index that covers all proposals answered before this call.
 
         Works on every node.
 
         Raises:
-            NotConfirmedError: no leader confirmed it with a quorum in time.
+            NotConfirmedError: no leader confirmed it with a quorum within ``timeout``
+                seconds, or it was not applied by then.
         """
         return self._reads.confirm_read(timeout)
 
     def wait_applied(self, after: int, timeout: float) -> int:
-        """Wait while nothing behind ``after`` is applied; return what is."""
+        """Wait until an entry after ``after`` is applied or ``timeout`` seconds pass.
+
+        Returns the last applied index.
+        """
         return self._reads.wait_applied(after, timeout)
 
     def add_voter(self, node_id: str, address: Address, timeout: float) -> None:
-        """Add a node as learner, then as voter; see ``Membership``."""
+        """Add a node as a learner, then make it a voter; see ``Membership``."""
         self._membership.add_voter(node_id, address, timeout)
 
     def add_learner(
         self, node_id: str, address: Address, failure_domain: str, timeout: float
     ) -> None:
-        """Add a node that follows without a vote; see ``Membership``."""
+        """Add a non-voting member; see ``Membership``."""
         self._membership.add_learner(node_id, address, failure_domain, timeout)
 
     def demote_voter(self, node_id: str, timeout: float) -> None:
-        """Take a voter's vote; see ``Membership``."""
+        """Turn a voter into a learner; see ``Membership``."""
         self._membership.demote_voter(node_id, timeout)
 
     def remove_voter(self, node_id: str, timeout: float) -> None:
@@ -222,26 +232,26 @@
         self._membership.remove_voter(node_id, timeout)
 
     def diagnostics(self) -> ConsensusDiagnostics:
-        """Return the node's state for an operator."""
+        """Return diagnostics of the node for operators."""
         return build_diagnostics(self._state)
 
     def routes(self) -> list[Route]:
-        """Return the endpoints for the peers."""
+        """Return the HTTP routes that the peers call."""
         paths = (PATH_VOTE, PATH_APPEND, PATH_SNAPSHOT, PATH_READ)
         return [Route("POST", path, self._respond) for path in paths]
 
     def load(self) -> None:
-        """Load the files and the machine without starting threads."""
+        """Load the files and restore the state machine without starting threads."""
         with self._state.changed:
             self._state.load(self._initial_voters, self._bootstrap)
         self._applier.apply_committed()
 
     def tick(self) -> None:
-        """Look at the clock once."""
+        """Run the timer step of elections once."""
         self._guard(self._elections.tick)
 
     def step_peer(self, peer: str) -> None:
-        """Send one message to a peer, when one is due."""
+        """Send one message to a peer if one is due."""
         self._guard(lambda: self._step_peer(peer))
 
     def write_pending(self) -> None:
@@ -256,10 +266,12 @@
         """Answer one request of a peer.
 
         Raises:
-            IdentityRefusedError: sender or receiver is not who it should be.
-            NotLeaderError: a read point was asked of a node that does not lead.
-            NotConfirmedError: it leads, but cannot give a read point at this time.
-            StorageError: the disk of this node counts as lost.
+            IdentityRefusedError: sender or receiver is not the pinned member.
+            NotLeaderError: a read point was requested, but this node is not the
+                leader.
+            NotConfirmedError: this node leads, but cannot confirm a read point now.
+            StorageError: the files of this node failed or are inconsistent; the
+                node counts as failed.
         """
         try:
             return self._dispatch(path, body).model_dump(mode="json")
@@ -302,11 +314,11 @@
     def _step_peer(self, peer: str) -> None:
         state = self._state
         with state.changed:
-            wants_vote = self._elections.wants_vote(peer)
+            should_request_vote = self._elections.should_request_vote(peer)
             is_due = self._peer_due(peer) <= state.clock.now()
             is_leader = state.role is Role.LEADER
-        if wants_vote:
-            self._elections.ask(peer)
+        if should_request_vote:
+            self._elections.request_vote(peer)
         elif is_due and is_leader:
             self._replication.send(peer)
         elif is_due:
@@ -316,6 +328,6 @@
         state = self._state
         if state.role is Role.LEADER:
             return self._replication.next_send(peer)
-        if self._elections.wants_vote(peer):
+        if self._elections.should_request_vote(peer):
             return state.clock.now()
-        return self._leader_probe.due(peer)
+        return self._leader_probe.next_send(peer)
--- a/packages/consensus/src/dogwoodspool_consensus/peers.py
+++ b/packages/consensus/src/dogwoodspool_consensus/peers.py
@@ -16,15 +16,18 @@
 
 
 class PeerCaller:
-    """Send requests to members of the configuration and check who answers."""
+    """Send requests to members of the configuration and validate their responses."""
 
     def __init__(self, state: NodeState, transport: PeerTransport) -> None:
         self._state = state
         self._transport = transport
-        self._reported: set[str] = set()
+        self._mismatched_peers: set[str] = set()
 
     def header(self, peer: str, term: int) -> Mapping[str, Any]:
-        """Return the fields that every request carries; the lock is held."""
+        """Return the fields common to all requests.
+
+        The caller holds the lock.
+        """
         state = self._state
         member = state.configuration.members.get(peer)
         return {
@@ -43,12 +46,13 @@
         response_type: type[ResponseT],
         timeout: float | None = None,
     ) -> ResponseT | None:
-        """Return the peer's answer; None when there is none that counts.
+        """Return the peer's response; None if there is no valid one.
 
-        A peer answers only under the incarnation that the request names, see
+        A peer only answers a request that names its own incarnation or none, see
         ``check_request``.
 
-        The lock is not held, so that a slow peer holds up nobody else.
+        The caller does not hold the lock, so that a slow peer does not block the
+        other threads.
         """
         state = self._state
         with state.changed:
@@ -62,24 +66,24 @@
             )
             return response_type.model_validate(content)
         except PeerCallError as error:
-            self._note_refusal(peer, error)
+            self._handle_refusal(peer, error)
             return None
         except ValidationError as error:
             log_event("bad_peer_answer", level="WARNING", peer=peer, error=error)
             return None
 
-    def _note_refusal(self, peer: str, error: PeerCallError) -> None:
+    def _handle_refusal(self, peer: str, error: PeerCallError) -> None:
         if error.code == CODE_SOURCE_REFUSED:
-            self._stop_taking_part(peer)
+            self._mark_refused(peer)
         elif error.code == CODE_TARGET_MISMATCH:
-            self._report_mismatch(peer)
+            self._log_mismatch(peer)
             with self._state.changed:
-                self._state.note_ended(peer)
+                self._state.record_process_ended(peer)
 
-    def _report_mismatch(self, peer: str) -> None:
-        if peer in self._reported:
+    def _log_mismatch(self, peer: str) -> None:
+        if peer in self._mismatched_peers:
             return
-        self._reported.add(peer)
+        self._mismatched_peers.add(peer)
         log_event(
             "peer_identity_mismatch",
             level="ERROR",
@@ -87,7 +91,7 @@
             advice="remove this voter and add it under a new id",
         )
 
-    def _stop_taking_part(self, peer: str) -> None:
+    def _mark_refused(self, peer: str) -> None:
         state = self._state
         with state.changed:
             if state.is_refused:
@@ -98,6 +102,6 @@
                 level="ERROR",
                 node=state.node_id,
                 peer=peer,
-                advice="start with an empty folder under a new id, then add it",
+                advice="start with an empty data folder under a new id, then add it",
             )
             state.become_follower(state.term)
--- a/packages/consensus/src/dogwoodspool_consensus/progress.py
+++ b/packages/consensus/src/dogwoodspool_consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a node knows of its peers while it leads or asks for votes."""
+"""Progress of peers in replication and of rounds of votes."""
 
 from dataclasses import dataclass, field
 
@@ -7,15 +7,17 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """What a leader knows of one peer.
+    """Replication progress of one peer, as tracked by the leader.
+
+    All times are clock times in seconds.
 
     Attributes:
-        followed_since: when this leader began to send it messages.
-        acked_at: send time of the newest message that the peer answered in
+        followed_since: time from which this leader sends messages to the peer.
+        acked_at: send time of the latest message that the peer answered in
             this term.
-        sent_at: send time of the newest message.
-        retry_at: earliest time for the next message after a failed one.
-        told_commit: commit index of the newest message.
+        sent_at: send time of the latest message.
+        retry_at: earliest time of the next message after a failed one.
+        sent_commit_index: commit index in the latest message.
     """
 
     next_index: int
@@ -24,14 +26,19 @@
     acked_at: float = NEVER
     sent_at: float = NEVER
     retry_at: float = NEVER
-    told_commit: int = 0
+    sent_commit_index: int = 0
     snapshot_index: int = 0
     snapshot_offset: int = 0
 
 
 @dataclass(slots=True)
 class VoteRound:
-    """One round of votes; a pre-vote asks without changing any term."""
+    """One round of vote requests; a pre-vote changes no term.
+
+    Attributes:
+        granted: incarnations of the voters that granted their vote, by node id.
+        asked: ids of the peers that the vote was requested from.
+    """
 
     term: int
     is_pre_vote: bool
--- a/packages/consensus/src/dogwoodspool_consensus/proposals.py
+++ b/packages/consensus/src/dogwoodspool_consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals: the queue of the leader and the group commit."""
+"""Proposals: the leader's queue and its group commit."""
 
 import json
 import threading
@@ -18,7 +18,7 @@
 
 
 class Proposal:
-    """One command on its way through the log."""
+    """A command to be appended to the log, and its outcome."""
 
     def __init__(self, data: str) -> None:
         self.data = data
@@ -33,19 +33,19 @@
         return self._result is not None or self._error is not None
 
     def complete(self, result: dict[str, Any]) -> None:
-        """Give the result of the machine to the waiting thread."""
+        """Set the result of the state machine and wake the waiting threads."""
         with self._condition:
             self._result = result
             self._condition.notify_all()
 
     def fail(self, error: ConsensusError) -> None:
-        """Give an error to the waiting thread."""
+        """Set an error and wake the waiting threads."""
         with self._condition:
             self._error = error
             self._condition.notify_all()
 
     def wait(self, clock: Clock, deadline: float) -> bool:
-        """Wait until the outcome is known; return False when time ran out."""
+        """Wait until the outcome is known; return False if the deadline passed."""
         with self._condition:
             while not self.is_done:
                 remaining = deadline - clock.now()
@@ -55,16 +55,21 @@
         return True
 
     def result(self) -> dict[str, Any]:
-        """Return the result or raise the error, once the outcome is known."""
+        """Return the result, or raise the error.
+
+        Raises:
+            ConsensusError: the error of the proposal.
+            OutcomeUnknownError: the outcome is not known yet.
+        """
         if self._error is not None:
             raise self._error
         if self._result is None:
-            raise OutcomeUnknownError("the entry was not committed in time")
+            raise OutcomeUnknownError("the entry was not committed before the deadline")
         return self._result
 
 
 class Proposals:
-    """Queue commands and append them in batches, one sync for each batch."""
+    """Queue commands and append them in batches, with one sync per batch."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -74,17 +79,17 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether the log writer has something to append or to sync."""
+        """Whether the log writer has entries to append or to sync."""
         state = self._state
         if state.role is not Role.LEADER:
             return False
         return bool(self._pending) or state.log.durable_index < state.log.last_index
 
     def propose(self, command: dict[str, Any], timeout: float) -> dict[str, Any]:
-        """Append a command and return what the machine answered to it.
+        """Append a command and return the result of the state machine.
 
         Raises:
-            NotLeaderError: the command is surely not in the log.
+            NotLeaderError: the command is not committed and never will be.
             OutcomeUnknownError: it was appended and may or may not be committed.
             ProposalRefusedError: it can never be appended.
         """
@@ -95,7 +100,10 @@
         return proposal.result()
 
     def submit(self, command: dict[str, Any]) -> Proposal:
-        """Queue a command without waiting for it; errors as for ``propose``."""
+        """Queue a command without waiting for its outcome.
+
+        The errors of ``propose`` are raised here or by ``Proposal.result``.
+        """
         state = self._state
         proposal = Proposal(self._encode(command))
         with state.changed:
@@ -106,10 +114,10 @@
         return proposal
 
     def write_pending(self) -> None:
-        """Append what waits and sync it: one sync however many proposals.
+        """Append a batch of pending proposals and sync the log once.
 
-        The sync runs without the lock, so that the entries travel to the peers
-        meanwhile; the leader counts itself only when the sync has ended.
+        The sync runs without the lock, so that the entries are sent to the peers
+        meanwhile. The leader counts itself towards the quorum only after the sync.
         """
         state = self._state
         with state.changed:
@@ -125,10 +133,10 @@
             state.advance_commit()
 
     def resolve(self, index: int, term: int, result: dict[str, Any]) -> None:
-        """Answer the proposals whose fate an applied entry decides.
+        """Complete the proposals whose outcome an applied entry decides.
 
-        Terms only grow along a committed log, so a proposal of an older term
-        that is not applied yet can never follow this entry.
+        Terms never decrease along a committed log, so a proposal of an older term
+        that is not applied yet can never be committed after this entry.
         """
         with self._state.changed:
             leader = self._state.leader_address
@@ -141,25 +149,36 @@
                 self._waiting.pop(known).fail(NotLeaderError(leader))
 
     def resolve_through_snapshot(self, index: int) -> None:
-        """Give up the proposals whose entries only a snapshot shows."""
+        """Fail the proposals whose entries a restored snapshot covers.
+
+        A snapshot does not contain their results.
+        """
         with self._state.changed:
             for known in [known for known in self._waiting if known <= index]:
-                error = OutcomeUnknownError("the log moved on without an answer")
+                error = OutcomeUnknownError(
+                    "a snapshot replaced the entry before its result was known"
+                )
                 self._waiting.pop(known).fail(error)
 
     def _encode(self, command: dict[str, Any]) -> str:
         try:
             data = json.dumps(command, separators=(",", ":"))
         except (TypeError, ValueError) as error:
-            raise ProposalRefusedError(f"the command is no JSON: {error}") from error
+            raise ProposalRefusedError(
+                f"command cannot be encoded as JSON: {error}"
+            ) from error
         if len(data) > self._state.settings.max_command_bytes:
-            raise ProposalRefusedError(f"the command has {len(data)} bytes")
+            raise ProposalRefusedError(
+                f"command has {len(data)} bytes, above the limit of "
+                f"{self._state.settings.max_command_bytes}"
+            )
         return data
 
     def _accepts(self) -> bool:
-        # A leader without a lease may have been replaced: refusing now is better
-        # for the caller than an unknown outcome later. A leader that is new has
-        # no lease before its first heartbeats are answered.
+        # A leader without a lease may have been replaced: an immediate refusal is
+        # better for the caller than an unknown outcome later. A new leader has no
+        # lease until its first heartbeats are answered, so it accepts proposals for
+        # the duration of one lease.
         state = self._state
         if state.role is not Role.LEADER or state.has_failed or state.is_closed:
             return False
@@ -174,11 +193,12 @@
         batch = [self._pending.popleft() for _ in range(count)]
         if not batch:
             return
-        # Before the write: when the disk fails, what reached it is not known.
+        # Record the proposals before the write: if it fails, it is not known what
+        # reached the disk.
         for index, proposal in enumerate(batch, start=state.log.last_index + 1):
             proposal.term = state.term
             self._waiting[index] = proposal
-        state.append_own(EntryKind.COMMAND, [proposal.data for proposal in batch])
+        state.append_as_leader(EntryKind.COMMAND, [proposal.data for proposal in batch])
 
     def _withdraw(self, proposal: Proposal) -> None:
         with self._state.changed:
--- a/packages/consensus/src/dogwoodspool_consensus/reads.py
+++ b/packages/consensus/src/dogwoodspool_consensus/reads.py
@@ -1,4 +1,4 @@
-"""Reads: points in the log from which a read misses nothing."""
+"""Linearizable reads: read points in the log and waiting until they are applied."""
 
 import contextlib
 from collections.abc import Callable
@@ -19,71 +19,87 @@
     def __init__(self, state: NodeState, caller: PeerCaller) -> None:
         self._state = state
         self._caller = caller
-        self._read_point = SharedReadPoint(state.clock, self._ask_for_read_point)
+        self._read_point = SharedReadPoint(state.clock, self._fetch_read_point)
 
     def confirm_read(self, timeout: float) -> int:
-        """Return an applied index that covers all answered before this call.
+        """Return an applied index that covers all proposals answered before this call.
 
         Raises:
-            NotConfirmedError: no leader confirmed it with a quorum in time.
+            NotConfirmedError: this node is not in any configuration, no leader
+                confirmed the read with a quorum within ``timeout`` seconds, or the
+                read point was not applied by then.
         """
         state = self._state
         if not state.configuration.members:
-            # An empty disk: nobody names this node, so no leader will call it soon.
-            raise NotConfirmedError("this node is no member so far")
+            # The storage was empty and no configuration names this node, so no leader
+            # will contact it soon.
+            raise NotConfirmedError(f"{state.node_id} is not in any configuration yet")
         deadline = state.clock.now() + timeout
         index = self._read_point.get(deadline)
         if not self._wait(lambda: state.last_applied >= index, deadline):
-            raise NotConfirmedError(f"entry {index} was not applied in time")
+            raise NotConfirmedError(
+                f"entry {index} was not applied before the deadline"
+            )
         return index
 
     def wait_applied(self, after: int, timeout: float) -> int:
-        """Wait while nothing behind ``after`` is applied; return what is."""
+        """Wait until an entry after ``after`` is applied or ``timeout`` seconds pass.
+
+        Returns the last applied index.
+        """
         state = self._state
         deadline = state.clock.now() + timeout
         self._wait(lambda: state.last_applied > after, deadline)
         return state.last_applied
 
     def leader_read_point(self, deadline: float) -> int:
-        """Return the commit index, once this node has proved that it leads.
+        """Return the commit index after confirming that this node is still the leader.
 
-        The index is taken first and the proof comes after it: whatever was
-        answered before the read began was answered by this leader or by one
-        whose entries this one holds below its first own entry.
+        The index is read before the confirmation: any proposal answered before the
+        read began was answered by this leader, or by an earlier one whose entries
+        precede the first entry of this leader's term.
 
         Raises:
-            NotLeaderError: this node does not lead.
-            NotConfirmedError: no quorum answered in time.
+            NotLeaderError: this node is not the leader.
+            NotConfirmedError: the leader has not committed an entry of its own term,
+                lost its leadership, or no quorum answered before the deadline.
         """
         state = self._state
         with state.changed:
             term = state.term
 
-            def lost() -> bool:
+            def has_lost_leadership() -> bool:
                 return state.role is not Role.LEADER or state.term != term
 
             def has_committed() -> bool:
-                return lost() or state.commit_index >= state.first_own_index
+                return (
+                    has_lost_leadership() or state.commit_index >= state.first_own_index
+                )
 
             is_ready = self._wait(has_committed, deadline)
-            if lost():
+            if has_lost_leadership():
                 raise NotLeaderError(state.leader_address)
             if not is_ready:
-                raise NotConfirmedError("the leader has not committed yet")
+                raise NotConfirmedError(
+                    f"leader has not committed an entry of its term {term} yet"
+                )
             index, asked_at = state.commit_index, state.clock.now()
             if asked_at < state.lease_end():
                 return index
-            state.read_round_at = asked_at
+            state.quorum_check_at = asked_at
             state.changed.notify_all()
             confirmed = self._wait(
-                lambda: lost() or state.quorum_contact() >= asked_at, deadline
+                lambda: has_lost_leadership() or state.quorum_contact() >= asked_at,
+                deadline,
             )
-            if lost() or not confirmed:
-                raise NotConfirmedError("no quorum confirmed that this node leads")
+            if has_lost_leadership() or not confirmed:
+                raise NotConfirmedError(
+                    f"no quorum confirmed the leadership of term {term} in time"
+                )
             return index
 
     def handle_read(self, request: ReadRequest) -> ReadResponse:
-        """Answer a follower that asks for a read point."""
+        """Answer a follower's request for a read point."""
         state = self._state
         with state.changed:
             check_request(state, request)
@@ -93,7 +109,7 @@
                 term=state.term, incarnation=state.identity.incarnation, index=index
             )
 
-    def _ask_for_read_point(self, deadline: float) -> int:
+    def _fetch_read_point(self, deadline: float) -> int:
         state = self._state
         while True:
             with state.changed:
@@ -102,14 +118,19 @@
                 with contextlib.suppress(NotLeaderError):
                     return self.leader_read_point(deadline)
             elif leader is not None:
-                index = self._ask(leader, deadline)
+                index = self._request_read_point(leader, deadline)
                 if index is not None:
                     return index
-            if not self._pause(deadline):
-                raise NotConfirmedError("no leader confirmed the read in time")
+            if not self._wait_for_leader_change(deadline):
+                raise NotConfirmedError(
+                    "no leader confirmed the read before the deadline"
+                )
 
-    def _pause(self, deadline: float) -> bool:
-        """Wait for news of a leader; return False when there is no more time."""
+    def _wait_for_leader_change(self, deadline: float) -> bool:
+        """Wait for a change of leader, at most for one heartbeat interval.
+
+        Returns False if the deadline has passed or the node has failed or is closed.
+        """
         state = self._state
         with state.changed:
             known = (state.role, state.leader_id, state.leader_address)
@@ -121,7 +142,7 @@
             is_open = not state.has_failed and not state.is_closed
             return is_open and state.clock.now() < deadline
 
-    def _ask(self, leader: str, deadline: float) -> int | None:
+    def _request_read_point(self, leader: str, deadline: float) -> int | None:
         state = self._state
         remaining = deadline - state.clock.now()
         if remaining <= 0:
--- a/packages/consensus/src/dogwoodspool_consensus/records.py
+++ b/packages/consensus/src/dogwoodspool_consensus/records.py
@@ -1,4 +1,4 @@
-"""Framing of records in files: length, checksum and a line of JSON."""
+"""Framing of records in files: length, checksum and one line of JSON."""
 
 import json
 import zlib
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ScannedRecords:
-    """The good records of a file and where they end.
+    """The valid records of a file and their end offsets.
 
     Attributes:
         ends: offset right after each record.
-        is_torn: bytes follow that are no record.
+        is_torn: whether the last record is followed by bytes that are not a record.
     """
 
     records: tuple[dict[str, Any], ...]
@@ -26,17 +26,17 @@
 
 
 def encode_record(content: dict[str, Any]) -> bytes:
-    """Frame one record.
+    """Encode one record.
 
-    JSON text holds no raw line end, so a line end always closes a record and a
-    scan finds the next record behind a damaged one.
+    Encoded JSON contains no raw newline, so a newline always ends a record and a
+    scan finds the next record after a damaged one.
     """
     text = json.dumps(content, separators=(",", ":")).encode()
     return b"%08x %08x %s\n" % (len(text), zlib.crc32(text), text)
 
 
 def decode_record(line: bytes) -> dict[str, Any] | None:
-    """Return the record in a line without its end; None when it is damaged."""
+    """Return the record in a line without its newline; None if it is damaged."""
     text = line[HEADER_LENGTH:]
     if line[:HEADER_LENGTH] != b"%08x %08x " % (len(text), zlib.crc32(text)):
         return None
@@ -45,15 +45,15 @@
 
 
 def scan_records(content: bytes) -> ScannedRecords:
-    """Read records from the beginning of a file's content.
+    """Decode the records in a file's content.
 
-    A crash in the middle of an append leaves a damaged tail that was never
-    synced, hence never answered: it is reported as torn. A damaged record with
-    a good one behind it is no such tail: entries that this node has answered
-    for are gone, and going on would let it vote with a log that lost them.
+    A crash during an append leaves a damaged tail that was never synced and hence
+    never acknowledged: it is reported as torn. A damaged record before a valid one is
+    no such tail: entries that this node has acknowledged are lost, and it must not
+    vote with a log without them.
 
     Raises:
-        StorageCorruptError: a damaged record stands before a good one.
+        StorageCorruptError: a damaged record precedes a valid one.
     """
     records: list[dict[str, Any]] = []
     ends: list[int] = []
--- a/packages/consensus/src/dogwoodspool_consensus/recovery.py
+++ b/packages/consensus/src/dogwoodspool_consensus/recovery.py
@@ -1,4 +1,4 @@
-"""Bring what a storage held into one consistent beginning."""
+"""Recovery of a consistent state from the storage at start."""
 
 from collections.abc import Mapping
 
@@ -17,12 +17,12 @@
     node_id: str,
     voters: Mapping[str, Address] | None,
 ) -> Identity:
-    """Return the stored identity, or make one for an empty storage.
+    """Return the stored identity, or create one for an empty storage.
 
-    An empty folder gives no right to vote by itself: its owner may be a voter
-    whose disk was lost, and its vote or answer could undo what it had promised
-    before. Only ``voters``, given at bootstrap, lets it begin as a voter, once
-    in the life of a cluster.
+    A node with an empty folder may not vote: it may be a voter that lost its disk,
+    and its vote or response could contradict the votes and acknowledgements that it
+    gave before. Only ``voters``, given at bootstrap, lets it start as a voter, once in
+    the lifetime of a cluster.
 
     Raises:
         StorageCorruptError: the storage belongs to another node.
@@ -38,12 +38,12 @@
         )
     if identity.node_id != node_id:
         owner = identity.node_id
-        raise StorageCorruptError(f"the folder belongs to {owner}, not to {node_id}")
+        raise StorageCorruptError(f"data folder belongs to {owner}, not to {node_id}")
     return identity
 
 
 def recover_log(storage: LogStorage, stored: StoredState) -> ReplicatedLog:
-    """Return the log that follows the stored snapshot.
+    """Return the log after the stored snapshot.
 
     Raises:
         StorageCorruptError: entries between snapshot and log are missing.
@@ -52,12 +52,17 @@
     snapshot = stored.snapshot
     if snapshot is None:
         if stored.base.index:
-            raise StorageCorruptError("the log begins behind a missing snapshot")
+            raise StorageCorruptError(
+                f"log begins after entry {stored.base.index}, but there is no snapshot"
+            )
         return log
     if stored.base.index > snapshot.index:
-        raise StorageCorruptError("the log begins behind the snapshot")
-    # A crash between saving a snapshot that the leader sent and replacing the
-    # log leaves entries that need not follow the snapshot.
+        raise StorageCorruptError(
+            f"log begins after entry {stored.base.index}, but the snapshot ends at "
+            f"{snapshot.index}"
+        )
+    # After a crash between saving a snapshot from the leader and replacing the log,
+    # the entries of the log do not necessarily follow the snapshot.
     if log.term_at(snapshot.index) != snapshot.term:
         log.install(LogBase(snapshot.index, snapshot.term))
     return log
@@ -66,7 +71,7 @@
 def recover_configurations(
     identity: Identity, stored: StoredState, log: ReplicatedLog
 ) -> ConfigurationHistory:
-    """Return the configurations of the snapshot and of the log behind it."""
+    """Return the configurations in the snapshot and in the log after it."""
     snapshot = stored.snapshot
     if snapshot is not None:
         base = ConfigurationAt(snapshot.index, snapshot.configuration)
--- a/packages/consensus/src/dogwoodspool_consensus/replication.py
+++ b/packages/consensus/src/dogwoodspool_consensus/replication.py
@@ -1,6 +1,6 @@
-"""Replication: the leader's messages to one peer and the follower's answers."""
+"""Replication: the leader's messages to a peer and the follower's responses."""
 
-from .const import LEARNER_HEARTBEATS, PATH_APPEND
+from .const import LEARNER_HEARTBEAT_FACTOR, PATH_APPEND
 from .identities import check_request
 from .messages import AppendRequest, AppendResponse, EntryMessage
 from .models import Role
@@ -11,7 +11,7 @@
 
 
 class Replication:
-    """Bring the log to peers and take it in from a leader."""
+    """Send log entries to peers, and append those received from a leader."""
 
     def __init__(
         self, state: NodeState, caller: PeerCaller, snapshots: SnapshotSender
@@ -21,17 +21,18 @@
         self._snapshots = snapshots
 
     def next_send(self, peer: str) -> float:
-        """Return when the leader next has something to send to a peer."""
+        """Return the clock time of the leader's next message to a peer."""
         state = self._state
         progress = state.progress_of(peer)
         has_entries = progress.next_index <= state.log.last_index
-        has_news = progress.told_commit < state.commit_index
-        if has_entries or has_news or progress.sent_at < state.read_round_at:
+        has_new_commit = progress.sent_commit_index < state.commit_index
+        if has_entries or has_new_commit or progress.sent_at < state.quorum_check_at:
             return progress.retry_at
         interval = state.settings.heartbeat_interval
         if peer not in state.configuration.voters:
-            # No lease rests on a learner's answer, and news are sent at once anyway.
-            interval *= LEARNER_HEARTBEATS
+            # The lease does not depend on learners' responses, and entries and commits
+            # are sent without waiting for the next heartbeat.
+            interval *= LEARNER_HEARTBEAT_FACTOR
         return max(progress.retry_at, progress.sent_at + interval)
 
     def send(self, peer: str) -> None:
@@ -46,7 +47,7 @@
             if prev_term is not None:
                 request = self._build(peer, prev_index, prev_term)
                 progress.sent_at = sent_at = state.clock.now()
-                progress.told_commit = request.commit_index
+                progress.sent_commit_index = request.commit_index
         if prev_term is None:
             self._snapshots.send(peer)
             return
@@ -54,15 +55,15 @@
         with state.changed:
             if response is None:
                 self._delay(progress)
-            elif state.counts_answer(peer, request, response, sent_at):
+            elif state.record_response(peer, request, response, sent_at):
                 self._take_response(peer, request, response)
 
     def handle_append(self, request: AppendRequest) -> AppendResponse:
-        """Take in the leader's entries; answer when they are durable."""
+        """Append the leader's entries and respond once they are durable."""
         state = self._state
         with state.changed:
             check_request(state, request)
-            is_success = request.term >= state.term and self._take_in(request)
+            is_success = request.term >= state.term and self._append_entries(request)
             return AppendResponse(
                 term=state.term,
                 incarnation=state.identity.incarnation,
@@ -71,8 +72,8 @@
             )
 
     def _last_match_hint(self, prev_index: int) -> int:
-        # Skip the whole term that differs, so that a leader finds the common
-        # entry in as many messages as there are terms and not entries.
+        # Skip the whole conflicting term, so that a leader finds the last common entry
+        # with one message per term and not per entry.
         log = self._state.log
         if log.term_at(prev_index) is None:
             return min(log.last_index, prev_index)
@@ -111,12 +112,12 @@
             progress.next_index = max(1, progress.match_index + 1, lower)
         state.changed.notify_all()
 
-    def _take_in(self, request: AppendRequest) -> bool:
+    def _append_entries(self, request: AppendRequest) -> bool:
         state = self._state
         state.follow(request)
         entries = request.log_entries()
         prev_index, prev_term = request.prev_index, request.prev_term
-        # What the snapshot covers is committed, hence equal to what was sent.
+        # Entries covered by the snapshot are committed, so they equal those received.
         base = state.log.base
         if prev_index < base.index:
             entries = [entry for entry in entries if entry.index > base.index]
@@ -129,14 +130,14 @@
                 continue
             if known_term is not None:
                 state.truncate(entry.index)
-            state.take_entries(entries[offset:])
+            state.append_from_leader(entries[offset:])
             break
-        # Entries of an own lost leadership may be known but not yet durable.
+        # Entries that this node appended as leader may not be durable yet.
         if state.log.durable_index < state.log.last_index:
             state.log.sync()
         last = request.prev_index + len(request.entries)
         if min(request.commit_index, last) > state.commit_index:
             state.commit_index = min(request.commit_index, last)
             state.changed.notify_all()
-        state.hear_leader()
+        state.record_leader_contact()
         return True
--- a/packages/consensus/src/dogwoodspool_consensus/shared_read_point.py
+++ b/packages/consensus/src/dogwoodspool_consensus/shared_read_point.py
@@ -1,4 +1,4 @@
-"""One question to the leader for all reads that wait for a read point."""
+"""Sharing of one read point request among concurrent reads."""
 
 import threading
 from collections.abc import Callable
@@ -8,72 +8,77 @@
 from .errors import NotConfirmedError
 
 
-class _Round:
-    """One question, and the reads that began before it was asked."""
+class _SharedFetch:
+    """One request for a read point, shared by the reads that began before it."""
 
     def __init__(self) -> None:
-        self.is_over = False
+        self.is_finished = False
         self.index: int | None = None
 
 
 class SharedReadPoint:
-    """Ask for a read point once for all reads that wait at the same time.
+    """Request a read point once for all reads that wait at the same time.
 
-    After a loss of power all proxies ask for their first view together; a question to
-    the leader for each of them would hold its threads while it is being elected. A read
-    shares only a question that was asked after the read began, so that the answer
-    covers all that was acknowledged before.
+    After a power loss all proxies request their first view together; one request to
+    the leader for each of them would occupy its threads while it is being elected. A
+    read shares only a request that was sent after the read began, so that the response
+    covers everything acknowledged before the read.
 
     Args:
-        ask: returns a read point by a deadline, or raises ``NotConfirmedError``.
+        fetch: returns a read point by a deadline, or raises ``NotConfirmedError``.
     """
 
-    def __init__(self, clock: Clock, ask: Callable[[float], int]) -> None:
+    def __init__(self, clock: Clock, fetch: Callable[[float], int]) -> None:
         self._clock = clock
-        self._ask = ask
-        self._ended = threading.Condition()
-        self._is_asking = False
-        self._next = _Round()
+        self._fetch = fetch
+        self._fetch_ended = threading.Condition()
+        self._is_fetching = False
+        self._next_fetch = _SharedFetch()
 
     def get(self, deadline: float) -> int:
         """Return a read point.
 
         Args:
-            deadline: clock seconds until which it is of use.
+            deadline: clock time in seconds until which to wait.
 
         Raises:
-            NotConfirmedError: no leader confirmed it in time.
+            NotConfirmedError: no leader confirmed it before the deadline.
         """
         while True:
-            round_ = self._join(deadline)
-            if round_ is None:
+            shared = self._join(deadline)
+            if shared is None:
                 return self._run(deadline)
-            if round_.index is not None:
-                return round_.index
-            # That question had less time than this read, which asks in its turn.
-
-    def _join(self, deadline: float) -> _Round | None:
-        """Wait for the end of the next question; None for the read that must ask it."""
-        with self._ended:
-            round_ = self._next
-            while not round_.is_over:
-                if not self._is_asking:
-                    self._is_asking = True
+            if shared.index is not None:
+                return shared.index
+            # The shared request had an earlier deadline than this read: try again.
+
+    def _join(self, deadline: float) -> _SharedFetch | None:
+        """Wait for the next request to finish.
+
+        Returns None if this read must send that request itself.
+        """
+        with self._fetch_ended:
+            shared = self._next_fetch
+            while not shared.is_finished:
+                if not self._is_fetching:
+                    self._is_fetching = True
                     return None
                 remaining = deadline - self._clock.now()
                 if remaining <= 0:
-                    raise NotConfirmedError("no leader confirmed the read in time")
-                self._clock.wait(self._ended, remaining)
-            return round_
+                    raise NotConfirmedError(
+                        "no leader confirmed the read before the deadline"
+                    )
+                self._clock.wait(self._fetch_ended, remaining)
+            return shared
 
     def _run(self, deadline: float) -> int:
-        with self._ended:
-            round_, self._next = self._next, _Round()
+        with self._fetch_ended:
+            shared, self._next_fetch = self._next_fetch, _SharedFetch()
         try:
-            round_.index = self._ask(deadline)
-            return round_.index
+            shared.index = self._fetch(deadline)
+            return shared.index
         finally:
-            with self._ended:
-                round_.is_over = True
-                self._is_asking = False
-                self._ended.notify_all()
+            with self._fetch_ended:
+                shared.is_finished = True
+                self._is_fetching = False
+                self._fetch_ended.notify_all()
--- a/packages/consensus/src/dogwoodspool_consensus/snapshots.py
+++ b/packages/consensus/src/dogwoodspool_consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots on their way from a leader to a node that is far behind."""
+"""Transfer of snapshots from a leader to a node that is far behind."""
 
 import json
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class PartialSnapshot:
-    """The chunks received so far of one leader's snapshot."""
+    """The chunks of a leader's snapshot that have been received so far."""
 
     term: int
     index: int
@@ -26,7 +26,7 @@
 
 
 class SnapshotSender:
-    """Send the newest snapshot to one peer, chunk by chunk."""
+    """Send the newest snapshot to peers, chunk by chunk."""
 
     def __init__(self, state: NodeState, caller: PeerCaller) -> None:
         self._state = state
@@ -34,7 +34,7 @@
         self._encoded: tuple[int, str] = (0, "")
 
     def send(self, peer: str) -> None:
-        """Send the next chunk; the log no longer holds what the peer needs."""
+        """Send the next chunk to a peer that needs entries the log no longer holds."""
         state = self._state
         with state.changed:
             snapshot = state.snapshot
@@ -48,7 +48,7 @@
             if response is None:
                 interval = state.settings.heartbeat_interval
                 progress.retry_at = state.clock.now() + interval
-            elif state.counts_answer(peer, request, response, sent_at):
+            elif state.record_response(peer, request, response, sent_at):
                 self._take_response(peer, request, response)
 
     def _build(self, peer: str, snapshot: Snapshot) -> SnapshotRequest:
@@ -90,35 +90,35 @@
 
 
 class SnapshotReceiver:
-    """Put chunks together and replace log and state by the whole snapshot."""
+    """Assemble chunks, and replace log and state with the complete snapshot."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
         self._partial: PartialSnapshot | None = None
 
     def handle_snapshot(self, request: SnapshotRequest) -> SnapshotResponse:
-        """Take in one chunk."""
+        """Store one chunk, and install the snapshot with the last one."""
         state = self._state
         with state.changed:
             check_request(state, request)
             next_offset = 0
             if request.term >= state.term:
                 state.follow(request)
-                next_offset = self._take_chunk(request)
-                state.hear_leader()
+                next_offset = self._add_chunk(request)
+                state.record_leader_contact()
             return SnapshotResponse(
                 term=state.term,
                 incarnation=state.identity.incarnation,
                 next_offset=next_offset,
             )
 
-    def _take_chunk(self, request: SnapshotRequest) -> int:
+    def _add_chunk(self, request: SnapshotRequest) -> int:
         partial = self._partial
         key = (request.term, request.index)
         if partial is None or (partial.term, partial.index) != key:
             partial = PartialSnapshot(request.term, request.index, [])
             self._partial = partial
-        # A repeated or lost chunk: say where to go on.
+        # A chunk was repeated or lost: return the expected offset.
         if request.offset != partial.length:
             return partial.length
         limit = self._state.settings.max_snapshot_bytes
@@ -137,8 +137,8 @@
         state = self._state
         if snapshot.index <= state.commit_index:
             return
-        # The snapshot first: a crash before the log is replaced is noticed when
-        # the node starts (NodeState.load), the other order would lose entries.
+        # Save the snapshot first: a crash before the log is replaced is detected when
+        # the node starts (NodeState.load). The reverse order would lose entries.
         state.storage.save_snapshot(snapshot)
         state.log.install(LogBase(snapshot.index, snapshot.term))
         base = ConfigurationAt(snapshot.index, snapshot.configuration)
--- a/packages/consensus/src/dogwoodspool_consensus/state.py
+++ b/packages/consensus/src/dogwoodspool_consensus/state.py
@@ -1,4 +1,4 @@
-"""What the parts of a node share, guarded by one lock."""
+"""State shared by the components of a node, guarded by one lock."""
 
 import json
 import random
@@ -8,7 +8,7 @@
 from dogwoodspool_common import Address, Clock, log_event
 from dogwoodspool_common.const import NEVER
 
-from .const import LEADER, UNPINNED
+from .const import NOOP_LEADER_KEY, UNPINNED
 from .errors import StorageCorruptError
 from .messages import AppendRequest, PeerRequest, PeerResponse, SnapshotRequest
 from .models import (
@@ -29,8 +29,8 @@
 class NodeState:
     """Role, term, log and peers of one node.
 
-    Every method and attribute is used with ``changed`` held; it is notified
-    whenever a thread of the node may have something new to do.
+    Callers of every method and attribute hold ``changed``, which is notified
+    whenever a thread of the node may have new work.
     """
 
     def __init__(
@@ -64,9 +64,9 @@
         self.progress: dict[str, PeerProgress] = {}
         self.round: VoteRound | None = None
         self.election_deadline = NEVER
-        self.last_heard = NEVER
-        self.read_round_at = NEVER
-        self.has_yielded = False
+        self.last_leader_contact = NEVER
+        self.quorum_check_at = NEVER
+        self.has_deferred = False
         self.is_refused = False
         self.has_failed = False
         self.is_closed = False
@@ -87,7 +87,10 @@
 
     @property
     def is_electable(self) -> bool:
-        """Whether this node is a voter under the identity that is pinned."""
+        """Whether this node is a voter with the pinned incarnation.
+
+        At bootstrap, when none is pinned yet, any initial voter is electable.
+        """
         member = self.configuration.members.get(self.node_id)
         if self.is_refused or self.has_failed or member is None:
             return False
@@ -96,7 +99,7 @@
         return member.is_voter and member.incarnation == self.identity.incarnation
 
     def load(self, initial_voters: Mapping[str, Address], bootstrap: bool) -> None:
-        """Read the storage; make a new identity where there is none."""
+        """Load the storage; create an identity if there is none."""
         stored = self.storage.load()
         voters = initial_voters if bootstrap else None
         identity = recover_identity(self.storage, stored, self.node_id, voters)
@@ -108,46 +111,46 @@
         if stored.snapshot is not None:
             self.commit_index = stored.snapshot.index
             self.snapshot_to_restore = stored.snapshot
-        # A node that restarts may have heard from a leader right before it
-        # stopped, so it refuses votes as if it had: else its vote could elect a
-        # leader while the old one's lease still counts its answer. It heard
-        # nothing after the start of this process.
-        self.hear_leader()
+        # A restarted node may have heard from a leader right before it stopped, so it
+        # refuses votes as if it had. Otherwise its vote could elect a leader while the
+        # lease of the old one still counts its response. It cannot have heard anything
+        # since this process started, so the time of loading is subtracted.
+        self.record_leader_contact()
         if self._started_at is not None:
             loading = max(0.0, self.clock.now() - self._started_at)
-            self.last_heard -= loading
-            self._spread_first_election(self.election_deadline - loading)
+            self.last_leader_contact -= loading
+            self._schedule_first_election(self.election_deadline - loading)
         self._recover_leader()
 
-    def _spread_first_election(self, deadline: float) -> None:
-        """Put the first election after a start at its time, but not at others' time.
+    def _schedule_first_election(self, deadline: float) -> None:
+        """Schedule the first election after a start, with random jitter if overdue.
 
-        Loading takes longer than most election timeouts. Voters that start together
-        would all find theirs past, ask in the same millisecond, and vote each for
-        itself: a split vote, which costs another timeout.
+        Loading takes longer than most election timeouts. Without the jitter, voters
+        that start together would all be overdue, request votes in the same millisecond
+        and each vote for itself: a split vote, which costs another timeout.
         """
         spread = self._rng.uniform(0, self.settings.heartbeat_interval)
         self.election_deadline = max(deadline, self.clock.now() + spread)
 
     def _recover_leader(self) -> None:
-        """Find who led the newest term, as far as the log tells.
+        """Determine the leader of the newest term from the log, if it is known there.
 
-        Only one node leads a term. Where that was this node, no other has a lease
-        that it could disturb, so it asks for votes at once.
+        Only one node leads a term. If that was this node, no other node can hold a
+        lease, so it requests votes at once.
         """
         newest = self.log.last_noop()
         if newest is None or newest.term != self.term:
             return
-        self.leader_id = json.loads(newest.data).get(LEADER)
+        self.leader_id = json.loads(newest.data).get(NOOP_LEADER_KEY)
         if self.leader_id == self.node_id:
             self.leader_id = None
             self.election_deadline = self.clock.now()
 
-    def note_ended(self, peer: str) -> None:
-        """Take in that another process answers at a member's address.
+    def record_process_ended(self, peer: str) -> None:
+        """Record that another process answers at a member's address.
 
-        Where that member is the leader that the log names and this node has heard
-        none since it started, no lease is left that its votes could disturb: what it
+        If the log names that member as leader and this node has heard from no leader
+        since it started, its votes cannot violate a lease any more: what it
         acknowledged before its start was for that process, which has ended.
         """
         is_unheard = self.leader_id == peer and self.leader_address is None
@@ -155,91 +158,98 @@
             return
         log_event("leader_ended", node=self.node_id, leader=peer, term=self.term)
         self.leader_id = None
-        self.last_heard = NEVER
-        self._spread_first_election(self.clock.now())
+        self.last_leader_contact = NEVER
+        self._schedule_first_election(self.clock.now())
         self.changed.notify_all()
         for listener in self.earlier_election_listeners:
             listener()
 
-    def hear_leader(self) -> None:
-        """Remember that a leader is alive now and postpone the own election."""
-        self.last_heard = self.clock.now()
-        self.has_yielded = False
+    def record_leader_contact(self) -> None:
+        """Record contact with a live leader and postpone this node's election."""
+        self.last_leader_contact = self.clock.now()
+        self.has_deferred = False
         self.postpone_election()
 
-    def yield_election(self) -> None:
-        """Leave the first try to a candidate that asked before this node did.
+    def defer_to_candidate(self) -> None:
+        """Delay this node's election in favour of a candidate that asked first.
 
-        Voters that learn together that nobody leads would stand within milliseconds
-        of each other and split their votes, which costs half a timeout. Only once
-        until a leader is heard: a candidate that cannot win keeps nobody from it.
+        Voters that detect the loss of the leader together would start elections within
+        milliseconds of each other and split their votes, which costs half a timeout.
+        This happens only once until a leader is heard, so that a candidate that cannot
+        win does not block other candidates.
         """
-        if self.has_yielded:
+        if self.has_deferred:
             return
-        self.has_yielded = True
+        self.has_deferred = True
         pause = self.settings.heartbeat_interval
         self.election_deadline = max(self.election_deadline, self.clock.now() + pause)
 
     def postpone_election(self) -> None:
-        """Draw a new random election timeout from now."""
+        """Restart the election timer with a new random timeout."""
         low = self.settings.election_timeout_min
         high = self.settings.election_timeout_max
         self.election_deadline = self.clock.now() + self._rng.uniform(low, high)
 
-    def retry_pre_vote(self) -> None:
-        """Ask again soon when a pre-vote comes to nothing.
+    def schedule_pre_vote_retry(self) -> None:
+        """Schedule the next pre-vote soon, in case this one fails.
 
-        Voters refuse while they may still hear a leader, and do not say for how
-        long. A pre-vote changes no term, so asking often disturbs nobody; after a
-        power loss a whole election timeout would pass between two rounds.
+        Voters refuse while they may still have a leader, and do not say for how long.
+        A pre-vote changes no term, so frequent retries do no harm; without them a
+        whole election timeout would pass between two rounds after a power loss.
         """
         interval = self.settings.heartbeat_interval
         pause = self._rng.uniform(interval / 2, interval)
         self.election_deadline = self.clock.now() + pause
 
-    def retry_election(self) -> None:
-        """Ask again after a split vote, sooner than for a leader that fell silent."""
+    def schedule_election_retry(self) -> None:
+        """Schedule the retry after a split vote.
+
+        It comes sooner than the election after a leader has become silent.
+        """
         shortest = self.settings.election_timeout_min
         pause = self._rng.uniform(shortest / 2, shortest)
         self.election_deadline = self.clock.now() + pause
 
     def follow(self, request: AppendRequest | SnapshotRequest) -> None:
-        """Follow the leader that sent a message of a term not older than ours."""
+        """Follow the leader that sent a message of the current or a newer term."""
         if request.term > self.term or self.role is not Role.FOLLOWER:
             self.become_follower(request.term)
         if self.leader_id != request.source or self.leader_address is None:
             self.changed.notify_all()
         self.leader_id = request.source
         self.leader_address = Address.parse(request.leader_address)
-        self.hear_leader()
+        self.record_leader_contact()
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from ``index`` on, which no quorum can hold.
+        """Drop the uncommitted entries from ``index`` on.
 
         Raises:
-            StorageCorruptError: a committed entry would be dropped, which only
-                files that lost something can cause.
+            StorageCorruptError: a committed entry would be dropped, which happens only
+                after the files of a node have lost data.
         """
         if index <= self.commit_index:
-            raise StorageCorruptError(f"committed entry {index} differs from leader's")
+            raise StorageCorruptError(
+                f"leader would replace entry {index}, but entries up to "
+                f"{self.commit_index} are committed"
+            )
         self.log.truncate(index)
         self.configurations.truncate(index)
 
-    def take_entries(self, entries: Sequence[Entry]) -> None:
-        """Append a leader's entries and make them durable."""
+    def append_from_leader(self, entries: Sequence[Entry]) -> None:
+        """Append entries received from the leader and make them durable."""
         self.log.append(entries)
         self.configurations.add(entries)
         self.log.sync()
         self.changed.notify_all()
 
     def save_vote(self, term: int, voted_for: str | None) -> None:
-        """Make a term and vote durable, then use them."""
+        """Make a term and vote durable before they take effect."""
         vote = Vote(term, voted_for)
         self.storage.save_vote(vote)
         self.vote = vote
 
     def become_follower(self, term: int) -> None:
-        """Follow, in a newer term where there is one."""
+        """Become a follower, in the given term if it is newer."""
         if term > self.term:
             self.save_vote(term, None)
             self.leader_id = self.leader_address = None
@@ -255,11 +265,11 @@
         self.changed.notify_all()
 
     def become_leader(self, incarnations: Mapping[str, str]) -> None:
-        """Lead the current term and append its first entries.
+        """Become the leader of the current term and append its first entries.
 
         Args:
-            incarnations: those of the voters that gave their vote, to be
-                pinned where the configuration has none yet.
+            incarnations: incarnations of the voters that granted their vote, by node
+                id, to be pinned where the configuration has none yet.
         """
         self.role = Role.LEADER
         self.round = None
@@ -268,12 +278,16 @@
         self.progress = {}
         self.first_own_index = self.log.last_index + 1
         log_event("became_leader", node=self.node_id, term=self.term)
-        self.append_own(EntryKind.NOOP, [json.dumps({LEADER: self.node_id})])
+        self.append_as_leader(
+            EntryKind.NOOP, [json.dumps({NOOP_LEADER_KEY: self.node_id})]
+        )
         self.pin(incarnations)
         self.changed.notify_all()
 
-    def append_own(self, kind: EntryKind, data: Sequence[str]) -> tuple[Entry, ...]:
-        """Append entries of the leader's term; the log writer syncs them."""
+    def append_as_leader(
+        self, kind: EntryKind, data: Sequence[str]
+    ) -> tuple[Entry, ...]:
+        """Append entries in the term of this leader; the log writer syncs them."""
         first = self.log.last_index + 1
         entries = tuple(
             Entry(index, self.term, kind, text)
@@ -285,9 +299,9 @@
         return entries
 
     def append_configuration(self, configuration: Configuration) -> Entry:
-        """Append a configuration, which is in force at once."""
+        """Append a configuration, which takes effect immediately."""
         text = json.dumps(configuration.to_json(), separators=(",", ":"))
-        return self.append_own(EntryKind.CONFIGURATION, [text])[0]
+        return self.append_as_leader(EntryKind.CONFIGURATION, [text])[0]
 
     def pin(self, incarnations: Mapping[str, str]) -> None:
         """Pin the incarnations of members that have none yet."""
@@ -296,22 +310,22 @@
             self.append_configuration(pinned)
 
     def progress_of(self, peer: str) -> PeerProgress:
-        """Return the leader's record of a peer, new where there is none.
+        """Return the leader's progress record of a peer, creating it if needed.
 
-        Most peers hold all that came before this leadership, so that the first
-        message brings them the leader's first entry and can commit it.
+        Replication starts at the first entry of the leader's term: most peers hold all
+        earlier entries, so the first message can already commit that entry.
         """
         if peer not in self.progress:
             self.progress[peer] = PeerProgress(self.first_own_index, self.clock.now())
         return self.progress[peer]
 
-    def counts_answer(
+    def record_response(
         self, peer: str, request: PeerRequest, response: PeerResponse, sent_at: float
     ) -> bool:
-        """Note that a peer follows; False for an answer that comes too late.
+        """Record a peer's response; return False if it must be ignored.
 
-        An answer may arrive after this node has lost its place, or even after
-        it leads again in another term; it then proves nothing.
+        A response may arrive after this node has lost its leadership, or even after it
+        leads again in another term; it then says nothing about the current term.
         """
         if response.term > self.term:
             self.become_follower(response.term)
@@ -324,10 +338,11 @@
         return True
 
     def advance_commit(self) -> None:
-        """Commit what a quorum holds durably, if it is of the leader's own term.
+        """Commit the entries that a quorum holds durably.
 
-        An entry of an older term is never committed by counting: a later leader
-        could still replace it, although a quorum holds it.
+        The last one must be of the leader's own term. An entry of an older term is
+        never committed by counting replicas: a later leader could still replace it,
+        although a quorum holds it.
         """
         index = int(self._quorum_value(self._match_index))
         if index > self.commit_index and self.log.term_at(index) == self.term:
@@ -335,22 +350,25 @@
             self.changed.notify_all()
 
     def quorum_contact(self) -> float:
-        """Return the newest time at which a quorum was still following."""
+        """Return the latest time at which a quorum was known to follow this leader."""
         return self._quorum_value(self._acked_at)
 
     def lease_end(self) -> float:
         """Return the end of the leader's lease on this node's clock.
 
-        It counts from when the messages were sent that a quorum answered. Each
-        of those voters refuses votes for the minimum election timeout from
-        when it received the message, which is later, so until the lease ends
-        no other node can have been elected. A leader that was cut off or
-        frozen finds its lease over when it looks at the clock.
+        The lease starts when the messages that a quorum answered were sent. Each of
+        those voters refuses votes for the minimum election timeout from when it
+        received the message, which is later, so no other node can be elected before
+        the lease ends. A leader that was partitioned or paused finds its lease expired
+        when it checks the clock.
         """
         return self.quorum_contact() + self.settings.lease
 
     def leadership(self) -> Leadership | None:
-        """Return the right to answer as leader now, if there is one."""
+        """Return the current right to answer as leader; None if there is none.
+
+        A leader has it only once an entry of its own term is applied.
+        """
         if self.role is not Role.LEADER or self.has_failed or self.is_closed:
             return None
         valid_until = self.lease_end()
@@ -359,11 +377,11 @@
         return Leadership(self.term, self.leader_since, valid_until)
 
     def fail(self, error: Exception) -> None:
-        """Take the node out of the cluster for good.
+        """Stop participating in the cluster permanently.
 
-        A disk that failed to sync may have lost what this node answered for.
-        Going on would count a voter that remembers nothing, so it neither votes
-        nor answers until an operator replaces it under a new id.
+        A disk that failed to sync may have lost entries and votes that this node
+        acknowledged. It must not count as a voter any more, so it neither votes nor
+        responds until an operator replaces it under a new id.
         """
         if self.has_failed:
             return
--- a/packages/consensus/src/dogwoodspool_consensus/storage.py
+++ b/packages/consensus/src/dogwoodspool_consensus/storage.py
@@ -36,26 +36,30 @@
 class LogStorage(Protocol):
     """Keep a node's identity, vote, log and snapshot.
 
-    All but ``append`` are durable when they return. Any method that writes may
-    raise ``StorageFailedError``; the node then counts its disk as lost.
+    The effects of all methods but ``append`` are durable when they return. Any method
+    that writes may raise ``StorageFailedError``; the node then treats its disk as lost.
     """
 
     def load(self) -> StoredState:
-        """Read everything; raise ``StorageCorruptError`` for untrusted content."""
+        """Load everything.
+
+        Raises:
+            StorageCorruptError: the content is corrupt or inconsistent.
+        """
         ...
 
     def create_identity(
         self, node_id: str, initial_voters: Mapping[str, Address] | None
     ) -> Identity:
-        """Make the folder's identity, once."""
+        """Create the identity of an empty folder."""
         ...
 
     def save_vote(self, vote: Vote) -> None:
-        """Replace term and vote."""
+        """Replace the stored term and vote."""
         ...
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries to the log; durable only after ``sync``."""
+        """Append entries to the log; they are durable only after ``sync``."""
         ...
 
     def sync(self) -> None:
@@ -67,11 +71,11 @@
         ...
 
     def rewrite(self, base: LogBase, entries: Sequence[Entry]) -> None:
-        """Replace the whole log in one atomic step."""
+        """Replace the whole log atomically."""
         ...
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the snapshot in one atomic step, unless it is newer already."""
+        """Replace the snapshot atomically, unless the stored one is newer."""
         ...
 
     def close(self) -> None:
@@ -82,8 +86,8 @@
 class FileLogStorage:
     """Keep a node's state in files of one folder.
 
-    ``identity`` is written last when a folder is made, so its absence means
-    that the folder never took part in anything.
+    ``identity`` is written last when a folder is created, so its absence means that
+    the folder was never used by a node.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -94,24 +98,24 @@
         self._log_file: int | None = None
         self._has_failed = False
         self._first_index = 1
-        # End of each record: the header first, then one for each entry.
-        self._ends: list[int] = []
+        # End offset of each record: first the header, then each entry.
+        self._record_ends: list[int] = []
 
     def stored_node_id(self) -> str | None:
-        """Return the id under which the folder was made; None for an empty one.
+        """Return the id of the node that owns the folder; None for an empty one.
 
         Raises:
-            StorageCorruptError: the identity file cannot be read.
+            StorageCorruptError: the identity file is damaged.
         """
         if not (self._folder / FILE_IDENTITY).exists():
             return None
         return identity_from_json(self._read_single(FILE_IDENTITY)).node_id
 
     def takes_writes(self) -> bool:
-        """Tell whether the disk takes and keeps a write at this time.
+        """Return whether the disk currently accepts a durable write.
 
-        Asked after a failure: a disk that was full or refused writes for a while
-        may serve a new process again, which reads what it really holds.
+        Checked after a failure: a disk that was full or refused writes for a while may
+        be used by a new process, which reads what is really stored.
         """
         path = self._folder / FILE_PROBE
         try:
@@ -123,10 +127,10 @@
         return True
 
     def load(self) -> StoredState:
-        """Read everything and cut a torn tail of the log."""
+        """Load everything and remove a torn tail of the log."""
         if not (self._folder / FILE_IDENTITY).exists():
             if any((self._folder / name).exists() for name in (FILE_VOTE, FILE_LOG)):
-                self._refuse_leftovers()
+                self._reject_lost_identity()
             return StoredState()
         identity = identity_from_json(self._read_single(FILE_IDENTITY))
         vote = self._read_single(FILE_VOTE)
@@ -146,9 +150,9 @@
     def create_identity(
         self, node_id: str, initial_voters: Mapping[str, Address] | None
     ) -> Identity:
-        """Make an empty log and vote, then the identity that makes them count."""
-        # The identity must differ after a disk was wiped, so it comes from the
-        # operating system's randomness and not from the node's seeded source.
+        """Create an empty log and vote, then the identity that makes them valid."""
+        # The incarnation must differ after a disk was wiped, so it comes from the
+        # operating system's random source and not from the node's seeded one.
         identity = Identity(node_id, uuid.uuid4().hex, initial_voters)
         self._guard(lambda: self._folder.mkdir(parents=True, exist_ok=True))
         self.save_vote(Vote())
@@ -157,40 +161,40 @@
         return identity
 
     def save_vote(self, vote: Vote) -> None:
-        """Replace term and vote."""
+        """Replace the stored term and vote."""
         content = {"term": vote.term, "voted_for": vote.voted_for}
         self._write_atomically(FILE_VOTE, content)
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries to the log file without a sync."""
+        """Append entries to the log file without a sync."""
         with self._lock:
             records = [encode_record(entry_to_json(entry)) for entry in entries]
-            end = self._ends[-1]
+            end = self._record_ends[-1]
             for record in records:
                 end += len(record)
-                self._ends.append(end)
+                self._record_ends.append(end)
             self._guard(lambda: self._write(b"".join(records)))
 
     def sync(self) -> None:
         """Sync the log file."""
-        # A copy of the descriptor: a rewrite may close the original meanwhile.
-        # What the rewrite wrote is durable by its own sync.
+        # Duplicate the descriptor, as a rewrite may close the original meanwhile. The
+        # rewrite syncs what it writes itself.
         with self._lock:
-            file = os.dup(self._opened_log())
+            file = os.dup(self._log_descriptor())
         try:
             self._guard(lambda: os.fsync(file))
         finally:
             os.close(file)
 
     def truncate(self, index: int) -> None:
-        """Cut the log file before an entry.
+        """Truncate the log file before an entry.
 
-        The cut is synced before anything new is appended: without that a crash
-        could leave new records followed by old ones that look good.
+        The truncation is synced before anything new is appended: otherwise a crash
+        could leave new records followed by old ones that look valid.
         """
         with self._lock:
-            del self._ends[index - self._first_index + 1 :]
-            self._guard(lambda: self._cut(self._ends[-1]))
+            del self._record_ends[index - self._first_index + 1 :]
+            self._guard(lambda: self._truncate_log_file(self._record_ends[-1]))
 
     def rewrite(self, base: LogBase, entries: Sequence[Entry]) -> None:
         """Replace the log file."""
@@ -200,13 +204,13 @@
             self._replace(FILE_LOG, b"".join(records))
             self._guard(self._reopen_log)
             self._first_index = base.index + 1
-            self._ends = _ends_of(records)
+            self._record_ends = _end_offsets(records)
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the snapshot file, unless a newer one came meanwhile.
+        """Replace the snapshot file, unless the stored snapshot is newer.
 
-        The node's own snapshot and one sent by the leader may be saved at the
-        same time; the log is already cut up to the newer one.
+        The node's own snapshot and one sent by the leader may be saved at the same
+        time; the log is already compacted up to the newer one.
         """
         with self._snapshot_lock:
             if snapshot.index < self._snapshot_index:
@@ -233,22 +237,22 @@
         except StorageCorruptError as error:
             raise StorageCorruptError(f"{path}: {error}") from error
         except (KeyError, ValueError) as error:
-            raise StorageCorruptError(f"{path}: bad record: {error}") from error
+            raise StorageCorruptError(f"{path}: invalid record: {error}") from error
         for expected, entry in enumerate(entries, start=base.index + 1):
             if entry.index != expected:
                 raise StorageCorruptError(f"{path}: entry {expected} is missing")
         self._first_index = base.index + 1
-        self._ends = list(scanned.ends)
+        self._record_ends = list(scanned.ends)
         with self._lock:
             self._guard(self._reopen_log)
             if scanned.is_torn:
-                lost = path.stat().st_size - self._ends[-1]
+                lost = path.stat().st_size - self._record_ends[-1]
                 log_event("log_tail_cut", level="WARNING", path=path, bytes=lost)
-                self._guard(lambda: self._cut(self._ends[-1]))
+                self._guard(lambda: self._truncate_log_file(self._record_ends[-1]))
         return base, entries
 
-    def _refuse_leftovers(self) -> None:
-        # A crash while a new folder is made leaves an empty log and vote; any
+    def _reject_lost_identity(self) -> None:
+        # A crash during the creation of a folder leaves an empty log and vote; any
         # entry or vote means that the identity file was lost.
         if (self._folder / FILE_SNAPSHOT).exists():
             raise StorageCorruptError(f"{self._folder}: the identity file is missing")
@@ -276,10 +280,10 @@
     def _write(self, content: bytes) -> None:
         view = memoryview(content)
         while view:
-            view = view[os.write(self._opened_log(), view) :]
+            view = view[os.write(self._log_descriptor(), view) :]
 
-    def _cut(self, length: int) -> None:
-        file = self._opened_log()
+    def _truncate_log_file(self, length: int) -> None:
+        file = self._log_descriptor()
         os.ftruncate(file, length)
         os.fsync(file)
 
@@ -288,16 +292,16 @@
             os.close(self._log_file)
         self._log_file = os.open(self._folder / FILE_LOG, os.O_WRONLY | os.O_APPEND)
 
-    def _opened_log(self) -> int:
+    def _log_descriptor(self) -> int:
         if self._log_file is None:
             raise StorageFailedError("the log file is not open")
         return self._log_file
 
     def _guard(self, operation: Callable[[], ValueT]) -> ValueT:
-        # After a failed fsync the kernel may drop the dirty pages and report
-        # success for the next one, so no later call may be believed.
+        # After a failed fsync the kernel may drop the dirty pages and report success
+        # for the next one, so the result of a later call cannot be trusted.
         if self._has_failed:
-            raise StorageFailedError("the disk failed before")
+            raise StorageFailedError(f"{self._folder}: an earlier write or sync failed")
         try:
             return operation()
         except OSError as error:
@@ -305,7 +309,7 @@
             raise StorageFailedError(f"{self._folder}: {error}") from error
 
 
-def _ends_of(records: Sequence[bytes]) -> list[int]:
+def _end_offsets(records: Sequence[bytes]) -> list[int]:
     ends: list[int] = []
     end = 0
     for record in records:
--- a/packages/consensus/src/dogwoodspool_consensus/threads.py
+++ b/packages/consensus/src/dogwoodspool_consensus/threads.py
@@ -1,4 +1,4 @@
-"""The threads of a node: timer, log writer, applier and one for each peer."""
+"""The threads of a node: timer, log writer, applier and one per peer."""
 
 import threading
 from collections.abc import Callable
@@ -7,14 +7,14 @@
 
 from dogwoodspool_common import log_event
 
-from .const import SHORTEST_TICK_SECONDS
+from .const import MIN_TICK_SECONDS
 from .models import Role
 from .state import NodeState
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSteps:
-    """What the threads do again and again; tests call the same steps."""
+    """Steps that the threads repeat; tests call the same steps."""
 
     tick: Callable[[], None]
     step_peer: Callable[[str], None]
@@ -23,7 +23,7 @@
 
 
 class NodeThreads:
-    """Call each step of a node when there is something for it to do."""
+    """Run each step of a node whenever there is work for it."""
 
     def __init__(
         self,
@@ -59,11 +59,14 @@
         self._threads = [self._start(name, loop) for name, loop in loops.items()]
 
     def unload(self) -> None:
-        """Wait until all threads have ended; the state is closed already."""
+        """Wait until all threads have ended.
+
+        The caller has closed the state before.
+        """
         with self._state.changed:
             self._state.changed.notify_all()
         self._wake_timer()
-        # The timer first: it starts the threads of the peers.
+        # Join the timer first, as it starts the peer threads.
         for thread in self._threads:
             thread.join()
         for thread in self._peer_threads.values():
@@ -80,8 +83,9 @@
         try:
             loop()
         except Exception as error:
-            # A node without one of its threads would lead without committing, or
-            # let its machine differ from its peers' after an apply that raised.
+            # A node that lost one of its threads might lead without committing, or,
+            # after an apply that raised, have a state machine that differs from those
+            # of its peers.
             log_event("thread_failed", level="ERROR", thread=name, error=repr(error))
             with self._state.changed:
                 self._state.fail(error)
@@ -98,20 +102,20 @@
                     state.clock.wait(self._timer, pause)
 
     def _wake_timer(self) -> None:
-        """Let the timer look at a new election deadline.
+        """Make the timer re-read an election deadline that was moved forward.
 
-        Voters whose deadline moves forward would otherwise find it past at the end of
-        the pause that they are in, which is the same for all that started together.
+        Otherwise voters would notice the passed deadline only at the end of their
+        current pause, which is the same for all voters that started together.
         """
         with self._timer:
             self._timer.notify_all()
 
     def pause_before_tick(self) -> float:
-        """Return the seconds until the timer looks again.
+        """Return the seconds until the next tick of the timer.
 
-        An election begins at its own random time and not at the next of some fixed
-        ticks: nodes that started together tick together, so that two of three
-        elections would begin in the same millisecond and split the votes.
+        An election starts at its own random time and not at the next tick of a fixed
+        interval: nodes that started together tick together, so that two of three
+        elections would start in the same millisecond and split the votes.
         """
         state = self._state
         longest = state.settings.heartbeat_interval / 2
@@ -119,7 +123,7 @@
             if state.role is Role.LEADER or not state.is_electable:
                 return longest
             remaining = state.election_deadline - state.clock.now()
-        return min(longest, max(SHORTEST_TICK_SECONDS, remaining))
+        return min(longest, max(MIN_TICK_SECONDS, remaining))
 
     def _start_peer_threads(self) -> None:
         with self._state.changed:
--- a/packages/consensus/src/dogwoodspool_consensus/transport.py
+++ b/packages/consensus/src/dogwoodspool_consensus/transport.py
@@ -1,4 +1,4 @@
-"""Calls between the nodes."""
+"""Transport of requests between nodes."""
 
 from typing import Any, Protocol
 
@@ -13,15 +13,15 @@
 
 
 class PeerTransport(Protocol):
-    """Carry one request to a peer and bring back its answer."""
+    """Send a request to a peer and return its response."""
 
     def call(
         self, address: Address, path: str, body: dict[str, Any], timeout: float
     ) -> dict[str, Any]:
-        """Return the peer's answer within ``timeout`` seconds.
+        """Return the peer's response within ``timeout`` seconds.
 
         Raises:
-            PeerCallError: no answer came, or the peer refused the request.
+            PeerCallError: no response arrived, or the peer refused the request.
         """
         ...
 
@@ -35,7 +35,7 @@
     def call(
         self, address: Address, path: str, body: dict[str, Any], timeout: float
     ) -> dict[str, Any]:
-        """Return the peer's answer; see ``PeerTransport``."""
+        """Return the peer's response; see ``PeerTransport``."""
         try:
             return self._client.post(address, path, body, timeout)
         except PeerRefusedError as error:
--- a/tests/consensus/fakes.py
+++ b/tests/consensus/fakes.py
@@ -1,4 +1,4 @@
-"""Storage, network and clocks that tests control; no thread runs."""
+"""Simulated storage, network and clocks that tests control without threads."""
 
 import random
 import threading
@@ -36,14 +36,14 @@
 
 
 class SimulatedCrashError(Exception):
-    """The process ended in the middle of a step."""
+    """Raised where a simulated process crashes in the middle of a step."""
 
 
 class SteppingClock:
-    """A clock that a test advances; a wait lets the others act meanwhile.
+    """A clock that a test advances; the other nodes run during a wait.
 
-    The time of a wait passes for all clocks, each at its own rate. If it passed for the
-    one alone, some waits would set it off by more than any drift that leases allow for.
+    The time of a wait passes on all clocks, each at its own rate. If it passed on the
+    waiting clock alone, a few waits would exceed the clock drift that leases allow for.
     """
 
     def __init__(self, rate: float = 1.0) -> None:
@@ -72,7 +72,7 @@
 
 
 class MemoryLogStorage:
-    """Keep what was synced apart from what a crash may lose."""
+    """In-memory storage that keeps unsynced entries apart from synced ones."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -122,7 +122,7 @@
         pass
 
     def crash(self, kept: int = 0) -> None:
-        """Lose unsynced entries but the first ``kept``."""
+        """Lose all unsynced entries except the first ``kept``."""
         self._keep_unsynced(kept)
         self._unsynced = []
 
@@ -145,7 +145,7 @@
 
 
 class RecordingMachine:
-    """Remember every command with its index; refuse one that comes twice."""
+    """Record every command with its index; reject one that comes twice or too late."""
 
     def __init__(self, on_apply: Callable[[int, str], None]) -> None:
         self.applied: dict[int, str] = {}
@@ -167,7 +167,7 @@
 
 
 class Cluster:
-    """Nodes over a network in memory; every step is called by the test."""
+    """Nodes on a simulated network; the test runs every step."""
 
     def __init__(self, count: int, rates: Sequence[float] = ()) -> None:
         self.addresses = {f"n{i}": Address("10.0.0.1", i) for i in range(count)}
@@ -176,7 +176,7 @@
         self.machines: dict[str, RecordingMachine] = {}
         self.storages: dict[str, MemoryLogStorage] = {}
         self.clocks: dict[str, SteppingClock] = {}
-        self.cuts: set[frozenset[str]] = set()
+        self.cut_links: set[frozenset[str]] = set()
         self.frozen: set[str] = set()
         self.committed: dict[int, str] = {}
         self.sent: list[tuple[str, str, dict[str, Any]]] = []
@@ -190,7 +190,7 @@
     def start(
         self, name: str, *, bootstrap: bool = False, loading: float | None = None
     ) -> None:
-        """Start a node on what its storage holds, after a time of loading."""
+        """Start a node from its storage, after ``loading`` seconds of loading."""
         self.addresses.setdefault(name, Address("10.0.0.1", len(self.addresses)))
         clock = self.clocks.setdefault(name, SteppingClock(self._rates.get(name, 1.0)))
         clock.on_wait = self.settle
@@ -212,28 +212,28 @@
         self.nodes[name].load()
 
     def crash(self, name: str, kept: int = 0) -> None:
-        """End a node; what it had not synced is lost but for some entries."""
+        """Stop a node, losing its unsynced entries except the first ``kept``."""
         self.nodes.pop(name, None)
         self.storages[name].on_sync = lambda: None
         self.storages[name].crash(kept)
 
     def running(self) -> list[str]:
-        """Return the nodes that act."""
+        """Return the nodes that are neither stopped nor frozen."""
         return [name for name in sorted(self.nodes) if name not in self.frozen]
 
     def cut_off(self, name: str) -> None:
-        """Cut a node off from all others."""
-        self.cuts |= {frozenset({name, other}) for other in self.addresses} - {
+        """Partition a node from all others."""
+        self.cut_links |= {frozenset({name, other}) for other in self.addresses} - {
             frozenset({name})
         }
 
     def advance(self, seconds: float) -> None:
-        """Let time pass everywhere, by each node's own rate."""
+        """Advance the clocks of all nodes, each at its own rate."""
         for clock in self.clocks.values():
             clock.advance(seconds)
 
     def step(self, name: str) -> None:
-        """Let one node do everything that is due."""
+        """Run all steps of one node that are due."""
         node = self.nodes.get(name)
         if node is None or name in self.frozen:
             return
@@ -248,37 +248,37 @@
         self.on_step()
 
     def node_of_rank(self, rank: int) -> str:
-        """Return a node by its place: 0 is the newest leader, if there is one."""
+        """Return a node by rank: 0 is the leader of the newest term, if any."""
 
-        def place(name: str) -> tuple[bool, int]:
+        def sort_key(name: str) -> tuple[bool, int]:
             seen = self.nodes[name].diagnostics()
             return seen.role is not Role.LEADER, -seen.term
 
-        running = sorted(self.nodes, key=place)
+        running = sorted(self.nodes, key=sort_key)
         names = running + sorted(set(self.voters) - set(running))
         return names[rank % len(names)]
 
     def heal(self) -> None:
-        """Mend all connections and let every node go on."""
-        self.cuts.clear()
+        """Restore all connections and start or unfreeze all nodes."""
+        self.cut_links.clear()
         self.frozen.clear()
         for name in sorted(set(self.addresses) - set(self.nodes)):
             self.start(name)
 
     def settle(self, rounds: int = 2) -> None:
-        """Let all nodes act a few times without time passing."""
+        """Run all nodes for a few rounds without advancing time."""
         for _ in range(rounds):
             for name in self.running():
                 self.step(name)
 
     def run(self, seconds: float) -> None:
-        """Let time pass in short steps while all nodes act."""
+        """Advance time in short steps, running all nodes after each."""
         for _ in range(round(seconds / 0.05)):
             self.advance(0.05)
             self.settle(1)
 
     def leader(self) -> str:
-        """Run until a node may answer as leader."""
+        """Run until a node may answer as leader, and return it."""
         for _ in range(200):
             self.run(0.05)
             leaders = self.leaders()
@@ -287,11 +287,11 @@
         raise AssertionError("no leader was elected")
 
     def leaders(self) -> list[str]:
-        """Return the nodes, frozen ones too, that would answer as leader."""
+        """Return the nodes, including frozen ones, that would answer as leader."""
         return [name for name in sorted(self.nodes) if self.nodes[name].leadership()]
 
     def deliver(self, target: str, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Hand a request to a node."""
+        """Deliver a request to a node and return its response."""
         node = self.nodes.get(target)
         if node is None or target in self.frozen:
             raise PeerCallError("no answer")
@@ -311,7 +311,7 @@
 
 
 class NodeTransport:
-    """Carry requests between the nodes of a cluster."""
+    """Deliver requests between the nodes of a cluster."""
 
     def __init__(self, cluster: Cluster, source: str) -> None:
         self._cluster = cluster
@@ -321,10 +321,10 @@
         self, address: Address, path: str, body: dict[str, Any], timeout: float
     ) -> dict[str, Any]:
         cluster = self._cluster
-        # Other threads of the caller answer as leader while this one waits.
+        # Other threads of the caller may answer as leader while this one waits.
         cluster.on_step()
         names = [name for name, at in cluster.addresses.items() if at == address]
-        if not names or frozenset({self._source, names[0]}) in cluster.cuts:
+        if not names or frozenset({self._source, names[0]}) in cluster.cut_links:
             raise PeerCallError("no answer")
         cluster.sent = [*cluster.sent[-20:], (names[0], path, body)]
         meanwhile, cluster.on_request = cluster.on_request, None
@@ -334,6 +334,6 @@
         meanwhile, cluster.on_answer = cluster.on_answer, None
         if meanwhile is not None:
             meanwhile()
-        if frozenset({self._source, names[0]}) in cluster.cuts:
+        if frozenset({self._source, names[0]}) in cluster.cut_links:
             raise PeerCallError("the answer was lost")
         return answer
--- a/tests/consensus/test_fuzz.py
+++ b/tests/consensus/test_fuzz.py
@@ -24,7 +24,7 @@
 from .fakes import Cluster, SimulatedCrashError
 
 COUNT = 3
-# Faults mean most where they hit the leader, so nodes are drawn by rank.
+# Faults of the leader matter most, so nodes are drawn by rank.
 RANKS = st.sampled_from((0, 0, 1, 2))
 SECONDS = st.sampled_from((0.1, 0.4, 2.0, 2.0))
 SHORT = st.sampled_from((0.2, 0.5, 0.8))
@@ -33,7 +33,7 @@
 
 
 class ConsensusMachine(RuleBasedStateMachine):
-    """Crash, cut, freeze and wipe nodes, lose, delay and repeat messages.
+    """Crash, partition, freeze and wipe nodes; lose, delay and repeat messages.
 
     The oracle is the first command seen at each index (``Cluster.committed``),
     the commands that were answered, and the leader of each term.
@@ -58,7 +58,7 @@
 
     @rule(rank=RANKS, fault=FAULTS, seconds=SECONDS, heals=st.booleans())
     def fail(self, rank: int, fault: str, seconds: float, heals: bool) -> None:
-        """Let one node fail, perhaps in the moment in which others come back."""
+        """Let one node fail, possibly at the moment at which others return."""
         name = self.cluster.node_of_rank(rank)
         if heals:
             self.cluster.heal()
@@ -70,15 +70,15 @@
     def fail_half_cut(
         self, peer: int, before: float, fault: str, after: float, restarts: bool
     ) -> None:
-        """Let the leader fail when one follower has not heard it for a while.
+        """Let the leader fail when one follower has not heard from it for a while.
 
-        That follower is the first to time out, while the other one still knows
-        the leader or has just restarted.
+        That follower is the first to time out, while the other one still follows the
+        leader or has just restarted.
         """
         self.cluster.heal()
         names = [self.cluster.node_of_rank(rank) for rank in range(COUNT)]
         cut_off = names[1 + peer % 2]
-        self.cluster.cuts.add(frozenset({names[0], cut_off}))
+        self.cluster.cut_links.add(frozenset({names[0], cut_off}))
         self._propose_everywhere()
         self.cluster.run(before)
         self._fail(names[0], fault)
@@ -92,7 +92,7 @@
     def cut(self, first: int, second: int) -> None:
         if first != second:
             names = map(self.cluster.node_of_rank, (first, second))
-            self.cluster.cuts.add(frozenset(names))
+            self.cluster.cut_links.add(frozenset(names))
 
     @rule(seconds=SECONDS)
     def heal(self, seconds: float) -> None:
@@ -112,7 +112,7 @@
 
     @rule(rank=RANKS, peer=RANKS, crashes=st.booleans())
     def sync_slowly(self, rank: int, peer: int, crashes: bool) -> None:
-        """Exchange messages while a leader's disk syncs, perhaps crash then."""
+        """Exchange messages while a leader's disk syncs, and possibly crash then."""
         name, other = map(self.cluster.node_of_rank, (rank, peer))
         node, storage = self.cluster.nodes.get(name), self.cluster.storages[name]
         if node is None or name in self.cluster.frozen:
@@ -134,7 +134,7 @@
     @precondition(lambda self: self.wiped is None)
     @rule(rank=RANKS, bootstrap=st.booleans())
     def wipe(self, rank: int, bootstrap: bool) -> None:
-        """Lose the files of one voter, which may be bootstrapped by mistake."""
+        """Wipe the files of one voter, which may be bootstrapped again by mistake."""
         configurations = [node.diagnostics() for node in self.cluster.nodes.values()]
         if not all(
             member.incarnation for seen in configurations for member in seen.members
@@ -147,7 +147,7 @@
 
     @rule(rank=RANKS, seconds=SECONDS, is_answer=st.booleans(), fate=FATES)
     def delay(self, rank: int, seconds: float, is_answer: bool, fate: str) -> None:
-        """Let the others go on while one message is on its way or lost."""
+        """Let the other nodes continue while one message is in transit or lost."""
         name = self.cluster.node_of_rank(rank)
 
         def meanwhile() -> None:
@@ -178,7 +178,7 @@
 
     @rule(rank=RANKS)
     def read(self, rank: int) -> None:
-        """A confirmed read misses nothing that was answered before it."""
+        """Check that a confirmed read includes everything answered before it."""
         name = self.cluster.node_of_rank(rank)
         node = self.cluster.nodes.get(name)
         if node is None or name in self.cluster.frozen:
@@ -193,7 +193,7 @@
         assert index <= node.last_applied
 
     def check_leaders(self) -> None:
-        """Hold after each step of a node, not only after each rule."""
+        """Check after each step of a node, not only after each rule."""
         assert len(self.cluster.leaders()) <= 1, "two nodes answer as leader"
         for name, node in self.cluster.nodes.items():
             seen = node.diagnostics()
@@ -214,7 +214,7 @@
         assert not committed & self._refused(), "a refused proposal was run"
 
     def teardown(self) -> None:
-        """All nodes that kept their files come to the same state again."""
+        """Check that all nodes that kept their files converge to the same state."""
         self.cluster.heal()
         self.cluster.run(3.0)
         self.cluster.leader()
@@ -252,7 +252,7 @@
 
 
 def outcome(proposal: Proposal) -> str:
-    """Name what became of a proposal."""
+    """Return the outcome of a proposal."""
     if not proposal.is_done:
         return "open"
     try:
@@ -264,11 +264,12 @@
     return "answered"
 
 
-class FoundHistoriesTests(unittest.TestCase):
-    """Nodes that wait for a read point again and again do not outrun other clocks.
+class FuzzRegressionTests(unittest.TestCase):
+    """Histories of nodes that wait for a read point repeatedly.
 
-    The fake clock moved for the waiting node alone, by half a second within two, and
-    a follower elected itself within the leader's lease (seed 777).
+    Guards against a simulated clock that a wait advances for the waiting node alone: it
+    gained half a second within two, and a follower was elected within the leader's
+    lease (seed 777).
     """
 
     def setUp(self) -> None:
@@ -309,7 +310,7 @@
 
 
 class ConsensusFuzzTests(unittest.TestCase):
-    """Run the machine with fixed seeds."""
+    """Run the state machine with fixed seeds."""
 
     def test_histories_agree_with_the_oracle(self) -> None:
         run_state_machine_as_test(
--- a/tests/consensus/test_http.py
+++ b/tests/consensus/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of nodes with their threads, files and HTTP on loopback."""
+"""Tests of nodes with threads, files and HTTP on loopback."""
 
 import random
 import tempfile
@@ -28,11 +28,11 @@
 from .fakes import RecordingMachine
 
 NAMES = ("n0", "n1", "n2")
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 class HttpClusterTests(unittest.TestCase):
-    """Three nodes elect, commit, lose their leader and start again."""
+    """Three nodes elect a leader, commit, lose the leader and restart."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -41,8 +41,8 @@
         self.signer = RequestSigner(b"key")
         self.nodes: dict[str, ConsensusNode] = {}
         self.machines: dict[str, RecordingMachine] = {}
-        # The servers first, as only they know their free ports; the nodes come
-        # behind them, and come again when they restart.
+        # Start the servers first, as their ports are chosen by the system. They outlive
+        # the nodes behind them, which are replaced on restart.
         self.servers = {name: self.serve(name) for name in NAMES}
         self.addresses = {name: item.address for name, item in self.servers.items()}
         for name in NAMES:
@@ -80,17 +80,17 @@
         self.addCleanup(node.unload)
 
     def propose(self, text: str) -> str:
-        """Propose to whoever leads; return its name."""
-        deadline = time.monotonic() + PATIENCE
+        """Propose to the leader; return its name."""
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             for name, node in self.nodes.items():
                 try:
-                    node.propose({"id": text}, PATIENCE)
+                    node.propose({"id": text}, TIMEOUT_SECONDS)
                 except NotLeaderError:
                     continue
                 return name
             time.sleep(0.02)
-        raise AssertionError("no node took the proposal")
+        raise AssertionError(f"no node accepted proposal {text!r}")
 
     def test_log_survives_the_loss_of_the_leader_and_a_restart_of_all(self) -> None:
         leader = self.propose("first")
@@ -102,6 +102,6 @@
             self.start(name)
         self.propose("third")
         for name, node in self.nodes.items():
-            node.confirm_read(PATIENCE)
+            node.confirm_read(TIMEOUT_SECONDS)
             applied = list(self.machines[name].applied.values())
             self.assertEqual(applied, ["first", "second", "third"])
--- a/tests/consensus/test_lease.py
+++ b/tests/consensus/test_lease.py
@@ -17,13 +17,14 @@
     """At any moment at most one node answers as leader."""
 
     def setUp(self) -> None:
-        # The leader's clock is slow and the followers' are fast, by the drift.
+        # The leader's clock is slow and the followers' clocks are fast by the maximum
+        # drift.
         self.cluster = Cluster(3, rates=(0.98, 1.02, 1.02))
         self.cluster.run(1.5)
         self.old = self.cluster.leader()
 
     def run_until_another_leads(self) -> None:
-        """Let time pass; fail when two would answer as leader."""
+        """Run until another node leads; fail if two would answer as leader."""
         for _ in range(200):
             self.cluster.run(0.05)
             leaders = self.cluster.leaders()
@@ -32,10 +33,10 @@
                 return
         self.fail("no other leader was elected")
 
-    def test_frozen_leader_is_not_current_when_it_wakes_up(self) -> None:
-        # Story: the leader's process is stopped for a while and then goes on in
-        # the middle of an answer. Another node was elected meanwhile, so what
-        # it believes is stale, and it has heard nothing of that yet.
+    def test_resumed_leader_has_no_leadership(self) -> None:
+        # The leader's process is paused for a while and resumes in the middle of a
+        # response. Another node was elected meanwhile, so its state is stale, but it
+        # has not received any message about that yet.
         cluster = self.cluster
         node = cluster.nodes[self.old]
         cluster.frozen.add(self.old)
@@ -45,8 +46,8 @@
             node.submit({"id": "late"})
 
     def test_cut_off_leader_loses_its_lease_before_another_is_elected(self) -> None:
-        # Story: a network partition isolates the leader; it goes on running and
-        # its callers still reach it.
+        # A network partition isolates the leader, which keeps running and is still
+        # reachable for its callers.
         self.cluster.cut_off(self.old)
         self.run_until_another_leads()
         with self.assertRaises(NotConfirmedError):
@@ -56,9 +57,9 @@
         self.assertIsNot(seen.role, Role.LEADER)
 
     def test_slow_answers_do_not_lengthen_the_lease(self) -> None:
-        # Story: heartbeats arrive at once but their answers take most of the
-        # election timeout. Counted from the answers, the lease would go on
-        # while the followers already elect another leader.
+        # Heartbeats arrive immediately, but their responses take most of the election
+        # timeout. Measured from the responses, the lease would still be valid while
+        # the followers elect another leader.
         cluster = self.cluster
         cluster.run(0.3)
         node = cluster.nodes[self.old]
@@ -71,12 +72,12 @@
     def test_restarted_follower_refuses_votes_as_if_it_had_heard_the_leader(
         self,
     ) -> None:
-        # Story: a follower answers a heartbeat, restarts within a fraction of a
-        # second and has forgotten it. The leader is cut off from the others at
-        # that moment; with that follower's vote another would lead too early.
+        # A follower answers a heartbeat and restarts within a fraction of a second
+        # without a record of it. The leader is partitioned from the others at that
+        # moment; with that follower's vote another node would lead too early.
         cluster = self.cluster
         other, restarted = sorted(set(cluster.nodes) - {self.old})
-        cluster.cuts.add(frozenset({self.old, other}))
+        cluster.cut_links.add(frozenset({self.old, other}))
         cluster.run(0.55)
         cluster.cut_off(self.old)
         cluster.crash(restarted)
@@ -84,13 +85,13 @@
         self.run_until_another_leads()
 
     def test_no_leadership_before_an_entry_of_the_own_term_is_applied(self) -> None:
-        # Story: an operator's change is acknowledged and the leader dies. The
-        # next leader holds it but does not know yet that it is committed; an
-        # answer from its state would miss the change. The third node lacks the
-        # change, so its first answer renews the lease and commits nothing.
+        # An operator's change is acknowledged and the leader fails. The next leader
+        # holds the change but does not know yet that it is committed, so a response
+        # from its state would miss the change. The third node lacks the change, so its
+        # first response renews the lease and commits nothing.
         cluster = self.cluster
         behind = sorted(set(cluster.nodes) - {self.old})[1]
-        cluster.cuts.add(frozenset({self.old, behind}))
+        cluster.cut_links.add(frozenset({self.old, behind}))
         proposal = cluster.nodes[self.old].submit({"id": "x"})
         for _ in range(10):
             if not proposal.is_done:
@@ -112,7 +113,7 @@
 
 
 class ConsensusSettingsTests(unittest.TestCase):
-    """Times under which the lease would not be safe are refused."""
+    """Times for which the lease would not be safe are rejected."""
 
     def test_lease_is_shorter_than_the_refusal_of_votes_by_the_drift(self) -> None:
         settings = ConsensusSettings(clock_drift=0.1, lease_fraction=1.0)
--- a/tests/consensus/test_lost_leader.py
+++ b/tests/consensus/test_lost_leader.py
@@ -1,4 +1,4 @@
-"""Tests of elections after a start where the leader is lost for good."""
+"""Tests of elections after a restart where the leader is lost permanently."""
 
 import threading
 import time
@@ -15,11 +15,11 @@
 
 
 class LostLeaderTests(unittest.TestCase):
-    """The power goes everywhere, and with it the disk of the control leader.
+    """A power loss on all machines that also destroys the leader's disk.
 
-    Callers are refused for 0.65 s more than after a loss of power alone: the others
-    remember who led, and refuse each other their votes until its lease must have run
-    out, although another process answers at its address.
+    Guards against an election 0.65 s later than after a power loss alone: the remaining
+    voters find the leader in their logs and refuse their votes until its lease must
+    have expired, although another process answers at its address.
     """
 
     def setUp(self) -> None:
@@ -34,7 +34,7 @@
         for name in sorted(self.cluster.addresses):
             self.cluster.start(name)
 
-    def test_the_others_elect_at_once(self) -> None:
+    def test_remaining_voters_elect_at_once(self) -> None:
         self.cluster.crash(self.old)
         self.cluster.storages[self.old].wipe()
         self.restart_all()
@@ -42,7 +42,7 @@
         (leader,) = self.cluster.leaders()
         self.assertIn(leader, self.others)
 
-    def test_the_others_wait_while_its_address_is_silent(self) -> None:
+    def test_remaining_voters_wait_while_leader_address_is_silent(self) -> None:
         self.cluster.crash(self.old)
         for name in self.others:
             self.cluster.crash(name)
@@ -50,16 +50,16 @@
         self.cluster.run(SETTINGS.election_timeout_min * 0.9)
         self.assertEqual(self.cluster.leaders(), [])
 
-    def test_a_voter_that_has_heard_a_leader_since_does_not_give_it_up(self) -> None:
-        # An answer from the wrong process at the leader's old address must not end a
-        # lease that the leader holds at another one.
+    def test_voter_that_heard_a_leader_since_its_start_keeps_it(self) -> None:
+        # A response from another process at the leader's old address must not end the
+        # lease that the leader holds at its new address.
         voter = self.cluster.nodes[self.others[0]]
-        voter._state.note_ended(self.old)
+        voter._state.record_process_ended(self.old)
         self.assertTrue(voter.is_following)
         self.assertEqual(voter._state.leader_id, self.old)
 
     def test_a_voter_that_knows_a_newer_term_than_its_log_waits(self) -> None:
-        # It may have acknowledged a leader of that term whose name it never stored.
+        # It may have acknowledged a leader of that term that its log does not name.
         self.cluster.crash(self.old)
         self.cluster.storages[self.old].wipe()
         for name in self.others:
@@ -72,10 +72,11 @@
 
 
 class TwoPowerLossesTests(unittest.TestCase):
-    """The power goes a second time before the new leader has committed anything.
+    """A second power loss before the new leader has committed an entry.
 
-    The voters that start last ask it for a read point. It cannot give one yet, and
-    the answer was an internal error (found by fuzzing with seed 777).
+    The voters that start last request a read point from the leader, which has none
+    yet. Guards against an internal error as the response, which fuzzing with seed 777
+    produced.
     """
 
     def lose_power_everywhere(self, cluster: Cluster) -> None:
@@ -106,15 +107,15 @@
         self.assertEqual((answer.status, answer.body["error"]), (503, "not_confirmed"))
 
 
-class FirstTryTests(unittest.TestCase):
-    """Voters that stand in the same milliseconds split their votes.
+class DeferredElectionTests(unittest.TestCase):
+    """Guard against split votes of voters that start elections together.
 
-    After a loss of power that took the leader's disk two voters learned of it together
-    and asked 1 ms apart, each having voted for itself: half a second more without a
-    leader.
+    After a power loss that destroyed the leader's disk, two voters detect the loss
+    together and request votes 1 ms apart, each having voted for itself: there is no
+    leader for another half a second.
     """
 
-    def test_a_voter_leaves_the_first_try_to_who_asked_first(self) -> None:
+    def test_voter_defers_to_the_first_candidate(self) -> None:
         cluster = Cluster(3)
         old = cluster.leader()
         candidate, voter = sorted(set(cluster.nodes) - {old})
@@ -134,18 +135,19 @@
             answer = cluster.nodes[voter].handle(PATH_VOTE, request.model_dump())
             self.assertTrue(answer["is_granted"])
             self.assertEqual(state.election_deadline, now + SETTINGS.heartbeat_interval)
-            # Only once: a candidate that asks forever must not keep others from it.
+            # Only once: a candidate that keeps asking must not block the others.
             cluster.advance(SETTINGS.heartbeat_interval / 2)
 
 
 class EarlierElectionTests(unittest.TestCase):
-    """An election that moves forward begins at its own time, not at the next tick.
+    """An election whose deadline moves forward starts then, not at the next tick.
 
-    Two voters started together and learned together that the leader had ended. Both
-    timers slept for the same 0.1 s, found their deadlines past, and the votes split.
+    Guards against split votes of two voters that started together and detected the end
+    of the leader together: both timers slept for the same 0.1 s and found their
+    deadlines passed.
     """
 
-    def test_the_timer_looks_again_at_once(self) -> None:
+    def test_timer_wakes_at_once(self) -> None:
         cluster = Cluster(3)
         old = cluster.leader()
         voter = next(name for name in cluster.nodes if name != old)
@@ -169,11 +171,11 @@
         )
         threads.set_up()
         self.assertTrue(ticked.acquire(timeout=10))
-        # The timer, the log writer, the applier and a thread for each of two peers.
+        # The timer, the log writer, the applier and one thread for each of two peers.
         while clock.waiters < 5:
             time.sleep(0.001)
         with state.changed:
-            state.note_ended(old)
+            state.record_process_ended(old)
         self.assertTrue(ticked.acquire(timeout=10))
         with state.changed:
             state.is_closed = True
--- a/tests/consensus/test_node.py
+++ b/tests/consensus/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of nodes over a network in memory."""
+"""Tests of nodes on a simulated network."""
 
 import unittest
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 def header(cluster: Cluster, source: str, target: str, term: int) -> dict[str, Any]:
-    """Return the common fields of a message between two nodes."""
+    """Return the fields common to all requests between two nodes."""
     return {
         "source": source,
         "source_incarnation": cluster.nodes[source].diagnostics().incarnation,
@@ -41,7 +41,7 @@
 
 
 class ClusterCase(unittest.TestCase):
-    """Three voters with a leader."""
+    """Base class with three voters and a leader."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3)
@@ -54,7 +54,7 @@
         return int(proposal.result()["index"])
 
     def elect_alone(self, cluster: Cluster, name: str, peers: list[str]) -> None:
-        """Let time pass while only one node acts, until it leads."""
+        """Run only one node until it is elected."""
         node = cluster.nodes[name]
         for _ in range(100):
             cluster.advance(0.05)
@@ -73,9 +73,9 @@
 
 
 class ReplicationTests(ClusterCase):
-    """What is acknowledged is on a quorum and stays."""
+    """An acknowledged command is on a quorum and is not lost."""
 
-    def test_proposals_wait_for_one_sync_together(self) -> None:
+    def test_proposals_share_one_sync(self) -> None:
         node, syncs = self.cluster.nodes[self.leader], []
         self.cluster.storages[self.leader].on_sync = lambda: syncs.append(1)
         proposals = [node.submit({"id": str(i)}) for i in range(SETTINGS.max_batch)]
@@ -84,9 +84,9 @@
         self.assertEqual(len(syncs), 1)
 
     def test_leader_counts_itself_only_after_its_sync(self) -> None:
-        # Story: the leader sends an entry on while its own disk still syncs. One
-        # follower has it, the third node is cut off; the leader loses power.
-        # Had it answered, the cut-off node and the leader could lose the entry.
+        # The leader sends an entry while its own disk still syncs. One follower has it,
+        # the third node is partitioned, and the leader loses power. If the leader had
+        # acknowledged the entry, it and the partitioned node could lose it.
         cluster, leader = self.cluster, self.leader
         cluster.cut_off(self.followers[1])
         node = cluster.nodes[leader]
@@ -105,24 +105,24 @@
         self.assertEqual(seen, [False])
         self.assertTrue(proposal.is_done)
 
-    def test_follower_answers_only_what_it_has_synced(self) -> None:
-        # Story: leader and one follower acknowledge a change. The leader is lost,
-        # the follower restarts after a power cut without what it had not synced.
+    def test_follower_acknowledges_only_synced_entries(self) -> None:
+        # The leader and one follower acknowledge a change. The leader is lost, and the
+        # follower restarts after a power loss without its unsynced entries.
         cluster, follower = self.cluster, self.followers[0]
         cluster.cut_off(self.followers[1])
         self.commit("x")
         cluster.crash(self.leader)
         cluster.crash(follower)
-        cluster.cuts.clear()
+        cluster.cut_links.clear()
         cluster.start(follower)
         self.commit("y")
         applied = cluster.machines[follower].applied.values()
         self.assertEqual(list(applied), ["x", "y"])
 
-    def test_entry_of_a_lost_leadership_is_synced_before_it_is_answered(self) -> None:
-        # Story: a leader's disk is slow and another node, which has the entry
-        # already, leads next. It counts the old leader's answer for the entry
-        # although that one has not synced it; a power cut then loses it.
+    def test_entry_of_a_lost_leadership_is_synced_before_its_response(self) -> None:
+        # The leader's disk is slow and another node, which already has the entry, leads
+        # next. It would count the old leader's response although that node has not
+        # synced the entry, which a power loss would then destroy.
         cluster, node = self.cluster, self.cluster.nodes[self.leader]
         storage, last = cluster.storages[self.leader], node.diagnostics().last_index
         entry = EntryMessage(term=1, kind=EntryKind.COMMAND, data='{"id":"x"}')
@@ -147,9 +147,9 @@
         self.assertEqual(durable, [True])
 
     def test_entry_of_an_older_term_is_not_committed_by_counting(self) -> None:
-        # Story (figure 8 of the Raft paper): a new leader brings an entry of an
-        # old term to a quorum, but not yet an entry of its own. A node with a
-        # newer last entry may still replace it, so it must not be committed.
+        # Figure 8 of the Raft paper: a new leader replicates an entry of an old term to
+        # a quorum, but not yet an entry of its own term. A node with a newer last entry
+        # may still replace it, so it must not be committed.
         cluster, node = self.cluster, self.cluster.nodes[self.leader]
         self.commit("first")
         cluster.cut_off(self.leader)
@@ -166,7 +166,7 @@
         for _ in range(20):
             node.step_peer(follower)
             lag = {item.node_id: item.lag for item in node.diagnostics().members}
-            # One entry lacks: the first of the leader's own term.
+            # Only one entry is missing: the first of the leader's own term.
             if lag[follower] == 1:
                 break
         self.assertEqual(lag[follower], 1)
@@ -174,10 +174,10 @@
             node.apply_committed()
         self.assertEqual(list(cluster.committed.values()), ["first"])
 
-    def test_answer_from_an_earlier_leadership_counts_for_nothing(self) -> None:
-        # Story: a follower takes a leader's entries, its answer is held up, and
-        # both lose them to another leader. The first one leads again when the
-        # answer comes; counted now, it would commit what no quorum holds.
+    def test_response_to_an_earlier_leadership_is_ignored(self) -> None:
+        # A follower appends a leader's entries, its response is delayed, and another
+        # leader replaces the entries on both. The first one leads again when the
+        # response arrives. If counted then, it would commit what no quorum holds.
         cluster = Cluster(5)
         leader = cluster.leader()
         node, follower = cluster.nodes[leader], min({"n0", "n1"} - {leader})
@@ -187,12 +187,12 @@
             cluster.cut_off(leader)
             cluster.cut_off(follower)
             cluster.run(3.0)
-            cluster.cuts.clear()
+            cluster.cut_links.clear()
             cluster.run(1.0)
             cluster.frozen.add(cluster.leader())
             self.elect_alone(cluster, leader, [follower, *others])
 
-        cluster.cuts |= {frozenset({leader, name}) for name in others}
+        cluster.cut_links |= {frozenset({leader, name}) for name in others}
         for number in range(SETTINGS.max_batch):
             node.submit({"id": str(number)})
         node.write_pending()
@@ -205,16 +205,16 @@
         self.assertLessEqual(0 if lag is None else seen.last_index - lag, held)
         self.assertIs(seen.role, Role.LEADER)
 
-    def test_cut_off_node_with_other_entries_takes_the_committed_ones(self) -> None:
-        # Story: a leader that was cut off took proposals that no quorum has. It
-        # comes back, its callers learn that they were not run, its log is mended.
+    def test_cut_off_leader_replaces_its_uncommitted_entries(self) -> None:
+        # A partitioned leader accepted proposals that no quorum has. Once it reconnects
+        # its callers learn that they were not run, and its log is corrected.
         cluster, old = self.cluster, self.cluster.nodes[self.leader]
         cluster.cut_off(self.leader)
         lost = [old.submit({"id": f"lost{i}"}) for i in range(3)]
         old.write_pending()
         cluster.run(3.0)
         self.commit("kept")
-        cluster.cuts.clear()
+        cluster.cut_links.clear()
         self.assert_same_everywhere()
         for proposal in lost:
             with self.assertRaises(NotLeaderError):
@@ -251,8 +251,8 @@
         self.assertEqual(answer["next_offset"], 0)
 
     def test_log_that_does_not_follow_the_snapshot_is_dropped(self) -> None:
-        # Story: a node gets a snapshot because its own entries lost; it loses
-        # power after saving the snapshot and before it has replaced its log.
+        # A node whose entries were superseded receives a snapshot. It loses power after
+        # saving the snapshot and before replacing its log.
         storage = self.cluster.storages[self.followers[0]]
         self.cluster.crash(self.followers[0])
         entries = [Entry(i, 1, EntryKind.NOOP) for i in range(1, 9)]
@@ -262,16 +262,16 @@
         seen = self.cluster.nodes[self.followers[0]].diagnostics()
         self.assertEqual(seen.last_index, 5)
 
-    def test_unload_refuses_what_waits(self) -> None:
+    def test_unload_refuses_pending_proposals(self) -> None:
         node = self.cluster.nodes[self.leader]
         proposal = node.submit({"id": "x"})
         node.unload()
         with self.assertRaises(NotLeaderError):
             proposal.result()
 
-    def test_failed_disk_takes_the_node_out(self) -> None:
-        # Story: fsync fails on the leader. It must neither answer nor vote, and
-        # the others must go on without it.
+    def test_failed_disk_excludes_the_node(self) -> None:
+        # fsync fails on the leader. It must neither respond nor vote, and the others
+        # must continue without it.
         cluster, node = self.cluster, self.cluster.nodes[self.leader]
         proposal = node.submit({"id": "x"})
         cluster.storages[self.leader].has_failing_disk = True
@@ -285,10 +285,10 @@
 
 
 class VoteTests(ClusterCase):
-    """One vote in a term, and only for a log that lacks nothing."""
+    """A voter votes once per term, and only for a log that is not behind its own."""
 
     def ask(self, source: str, term: int, last_index: int = 99) -> bool:
-        """Ask the first follower, which has heard no leader for a while."""
+        """Request the vote of the first follower after its leader contact expired."""
         target = self.followers[0]
         self.cluster.advance(SETTINGS.election_timeout_min * 1.1)
         request = VoteRequest(
@@ -301,8 +301,8 @@
         return bool(self.cluster.nodes[target].handle(PATH_VOTE, body)["is_granted"])
 
     def test_second_candidate_of_a_term_is_refused_also_after_a_restart(self) -> None:
-        # Story: a node votes, loses power, and is asked by another candidate of
-        # the same term. Two votes would make two leaders of one term.
+        # A node votes, loses power, and another candidate of the same term requests its
+        # vote. A second vote could elect two leaders in one term.
         self.assertTrue(self.ask(self.leader, 5))
         self.assertFalse(self.ask(self.followers[1], 5))
         self.cluster.crash(self.followers[0])
@@ -317,8 +317,8 @@
         self.assertTrue(self.ask(self.leader, 6, last))
 
     def test_message_of_an_older_term_is_refused(self) -> None:
-        # Story: a message of a leader that was replaced arrives late. It must
-        # neither change the log nor count as a sign of the present leader.
+        # A message of a replaced leader arrives late. It must neither change the log
+        # nor count as contact with the current leader.
         self.assertTrue(self.ask(self.followers[1], 5))
         node = self.cluster.nodes[self.followers[0]]
         last = node.diagnostics().last_index
@@ -336,7 +336,7 @@
 
 
 class IdentityTests(ClusterCase):
-    """A voter that lost its files does not vote as the one it was."""
+    """A voter that lost its files must not vote under its old identity."""
 
     def lose_leader_and_files_of(self, name: str, *, bootstrap: bool) -> None:
         self.commit("x")
@@ -347,15 +347,15 @@
         self.cluster.run(5.0)
 
     def test_wiped_voter_does_not_vote(self) -> None:
-        # Story: right after one machine got a new disk a second one is lost. Two
-        # nodes run, of which one remembers nothing; if its vote counted, a node
-        # that lacks acknowledged changes could be elected.
+        # Right after one machine got a new disk, a second one is lost. Of the two
+        # running nodes one has lost its state; if its vote counted, a node that lacks
+        # acknowledged changes could be elected.
         for bootstrap in (False, True):
             with self.subTest(bootstrap=bootstrap):
                 self.setUp()
                 self.lose_leader_and_files_of(self.followers[0], bootstrap=bootstrap)
                 self.assertEqual(self.cluster.leaders(), [])
-                # The lost machine comes back: the quorum is whole again.
+                # The lost machine returns, which restores the quorum.
                 self.cluster.start(self.leader)
                 self.assertIn(self.cluster.leader(), (self.leader, self.followers[1]))
 
@@ -374,8 +374,8 @@
     def test_two_wiped_voters_do_not_begin_a_new_cluster_beside_the_third(
         self,
     ) -> None:
-        # Story: an operator starts two wiped voters with the bootstrap flag. They
-        # are a majority of the first voters; the third knows better and says so.
+        # An operator starts two wiped voters with the bootstrap flag. They are a
+        # majority of the initial voters, but the third one refuses their identities.
         self.commit("x")
         for name in self.followers:
             self.cluster.crash(name)
@@ -406,15 +406,15 @@
         node = cluster.nodes[self.leader]
         node.add_voter("n3", cluster.addresses["n3"], 5.0)
         node.remove_voter(wiped, 5.0)
-        # Right after the replacement a second machine is lost: nothing is gone.
+        # A second machine is lost right after the replacement: no entry is lost.
         cluster.crash(self.leader)
         self.commit("after")
         self.assert_same_everywhere()
         self.assertEqual(len(cluster.committed), 31)
 
     def test_learner_that_cannot_be_reached_does_not_become_a_voter(self) -> None:
-        # Story: a voter is added whose process is not there. As a voter it would
-        # raise the quorum and the next lost machine would stop all changes.
+        # The process of an added voter does not run. As a voter it would raise the
+        # quorum, and the loss of one more machine would block all changes.
         node = self.cluster.nodes[self.leader]
         self.cluster.addresses["n3"] = address = list(self.cluster.voters.values())[0]
         with self.assertRaises(MembershipChangeError):
@@ -422,15 +422,15 @@
         members = {item.node_id: item for item in node.diagnostics().members}
         self.assertFalse(members["n3"].is_voter)
 
-    def test_change_that_no_quorum_took_is_undone(self) -> None:
-        # Story: a cut-off leader appends a new member, which counts there at
-        # once. When its log is mended, its configuration must be mended too.
+    def test_uncommitted_change_is_undone(self) -> None:
+        # A partitioned leader appends a new member, which takes effect there at once.
+        # When the entry is truncated, the previous configuration must be restored.
         cluster, node = self.cluster, self.cluster.nodes[self.leader]
         cluster.cut_off(self.leader)
         with self.assertRaises(OutcomeUnknownError):
             node.add_voter("n3", Address("10.0.0.1", 9), 0.2)
         cluster.run(3.0)
-        cluster.cuts.clear()
+        cluster.cut_links.clear()
         self.commit("x")
         cluster.run(1.0)
         self.assertEqual(len(node.diagnostics().members), 3)
--- a/tests/consensus/test_restart.py
+++ b/tests/consensus/test_restart.py
@@ -1,4 +1,4 @@
-"""Tests of how soon there is a leader after restarts, and what that must not break."""
+"""Tests of fast leader election after restarts, and of its safety."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class RestartTests(unittest.TestCase):
-    """A control group that was powered off leads again without an idle wait."""
+    """A control group elects a leader without an idle wait after a power loss."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3)
@@ -16,24 +16,25 @@
         self.old = self.cluster.leader()
 
     def restart_all(self) -> None:
-        """Power off every node and start them again."""
+        """Crash all nodes and start them again."""
         for name in sorted(self.cluster.nodes):
             self.cluster.crash(name)
         for name in sorted(self.cluster.addresses):
             self.cluster.start(name)
 
     def test_the_node_that_led_is_elected_at_once(self) -> None:
-        # All processes lose power right after a change was acknowledged. Callers
-        # wait for a leader; each node would refuse its vote for an election
-        # timeout, for fear of a leader that no longer exists.
+        # All processes lose power right after a change was acknowledged. Guards against
+        # callers that wait for a leader while each node refuses its vote for an
+        # election timeout, in case of a leader that no longer exists.
         self.restart_all()
         self.cluster.run(0.1)
         self.assertEqual(self.cluster.leaders(), [self.old])
 
     def test_voters_that_start_together_do_not_split_their_votes(self) -> None:
-        # The leader's disk is lost and the others lose power. Both load for longer
-        # than an election timeout, find theirs past and ask in the same moment,
-        # each having voted for itself; a second timeout passes without a leader.
+        # The leader's disk is lost and the others lose power. Both load for longer than
+        # an election timeout, so that both elections are overdue. Without jitter they
+        # request votes at the same moment, each having voted for itself, and a second
+        # timeout passes without a leader.
         cluster = self.cluster
         others = sorted(set(cluster.nodes) - {self.old})
         for name in sorted(cluster.nodes):
@@ -49,10 +50,11 @@
         cluster.run(SETTINGS.heartbeat_interval * 3)
         self.assertEqual(len(cluster.leaders()), 1)
 
-    def test_a_start_in_the_future_keeps_nobody_from_elections(self) -> None:
-        # A record of the start counted on another clock lies an hour ahead. The
-        # voters took a leader for heard until then: they refused each other's votes
-        # and began no election, and after a power loss nothing was served any more.
+    def test_start_time_in_the_future_does_not_block_elections(self) -> None:
+        # The recorded start time comes from another clock and lies an hour ahead.
+        # Guards against voters that assume contact with a leader until then: they
+        # refuse each other's votes and start no election, so that nothing is served
+        # after a power loss.
         cluster = self.cluster
         others = sorted(set(cluster.nodes) - {self.old})
         for name in sorted(cluster.nodes):
@@ -63,8 +65,8 @@
         self.assertEqual(len(cluster.leaders()), 1)
 
     def test_another_candidate_still_has_to_wait(self) -> None:
-        # The leader alone keeps its power and is cut off: its lease still runs,
-        # so the restarted others must not elect one of them within it.
+        # Only the leader keeps its power, and it is partitioned. Its lease is still
+        # valid, so the restarted voters must not elect another leader within it.
         cluster = self.cluster
         cluster.cut_off(self.old)
         others = sorted(set(cluster.nodes) - {self.old})
@@ -74,7 +76,7 @@
         cluster.run(SETTINGS.election_timeout_min * 0.8)
         self.assertEqual([n for n in cluster.leaders() if n != self.old], [])
 
-    def test_a_leader_that_steps_down_may_be_elected_by_those_it_led(self) -> None:
+    def test_restarted_leader_is_elected_by_its_followers(self) -> None:
         cluster = self.cluster
         cluster.crash(self.old)
         cluster.start(self.old)
@@ -82,8 +84,8 @@
         self.assertEqual(cluster.leaders(), [self.old])
 
     def test_a_newer_leader_is_not_replaced_by_the_one_before(self) -> None:
-        # The old leader comes back after another was elected. It still finds its
-        # own leadership as the last one in its log.
+        # The old leader restarts after another was elected. The last leader in its log
+        # is still itself.
         cluster = self.cluster
         cluster.crash(self.old)
         newer = cluster.leader()
@@ -94,12 +96,13 @@
 
 
 class EmptyDiskTests(unittest.TestCase):
-    """A node that lost its disk answers at once that it knows nothing."""
+    """A node that lost its disk rejects reads immediately."""
 
-    def test_a_read_there_is_not_confirmed_without_a_wait(self) -> None:
-        # Everything lost power and one disk its content. All proxies ask that node
-        # first, as it is the first address they know, and wait for two seconds
-        # for a leader which that node hears only when it has joined.
+    def test_read_on_an_empty_disk_fails_without_waiting(self) -> None:
+        # All machines lose power and one disk loses its content. All proxies ask that
+        # node first, as it is the first address that they know. Guards against a wait
+        # of two seconds for a leader, which contacts that node only after it has
+        # joined.
         cluster = Cluster(3)
         cluster.run(1.5)
         cluster.crash("n0")
@@ -111,12 +114,12 @@
         self.assertEqual(cluster.clocks["n0"].now(), began_at)
 
 
-class CommitNewsTests(unittest.TestCase):
-    """Followers learn of a commit at once, not with the next heartbeat."""
+class CommitNotificationTests(unittest.TestCase):
+    """Followers learn of a commit immediately, not with the next heartbeat."""
 
-    def test_a_commit_is_passed_on_without_time_passing(self) -> None:
-        # Proxies follow control through the process next to them. With each
-        # change known there only at the next heartbeat, every change of primary
+    def test_commit_reaches_followers_without_a_heartbeat(self) -> None:
+        # Proxies follow control through the control process of their machine. If a
+        # change arrived there only with the next heartbeat, every change of primary
         # would reach callers a quarter of a second later.
         cluster = Cluster(3)
         cluster.run(1.5)
@@ -128,7 +131,7 @@
 
 
 class MemberTests(unittest.TestCase):
-    """Votes move between members without anyone losing its identity."""
+    """The vote can move between members, which keep their identities."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3)
@@ -137,7 +140,7 @@
         self.node = self.cluster.nodes[self.leader]
 
     def members(self) -> dict[str, bool]:
-        """Return whether each member votes."""
+        """Return whether each member is a voter."""
         members = self.node.diagnostics().members
         return {one.node_id: one.is_voter for one in members}
 
@@ -172,12 +175,12 @@
 
 
 class TimerTests(unittest.TestCase):
-    """Elections begin at random times, whenever the nodes started."""
+    """Elections start at random times, even if the nodes started together."""
 
-    def test_the_timer_wakes_for_the_election_and_not_for_a_tick(self) -> None:
-        # Two voters start in the same millisecond and tick together. Their random
-        # times fall between the same two ticks, so that both begin at the second
-        # one, vote each for itself, and find no leader three times in a row.
+    def test_timer_wakes_at_the_election_deadline(self) -> None:
+        # Two voters start in the same millisecond and tick together. If their random
+        # deadlines fall between the same two ticks, both start an election at the
+        # second one and vote for themselves: no leader three times in a row.
         cluster = Cluster(3)
         node = cluster.nodes["n0"]
         state = node._state
