--- a/tests/consensus/test_shared_read_point.py
+++ b/tests/consensus/test_shared_read_point.py
@@ -1,4 +1,4 @@
-"""Tests of reads that share one question for a read point."""
+"""Tests of reads that share one request for a read point."""
 
 import threading
 import unittest
@@ -8,12 +8,12 @@
 from dogwoodspool_consensus import NotConfirmedError
 from dogwoodspool_consensus.shared_read_point import SharedReadPoint
 
-PATIENCE_SECONDS = 10.0
-FAR = 1_000.0
+TIMEOUT_SECONDS = 10.0
+FAR_DEADLINE = 1_000.0
 
 
 class Leader:
-    """Answers each question when the test says so."""
+    """Simulated leader that answers each request when the test sets the result."""
 
     def __init__(self) -> None:
         self.asked = threading.Semaphore(0)
@@ -23,14 +23,14 @@
         answer: Future[int] = Future()
         self.answers.append(answer)
         self.asked.release()
-        return answer.result(PATIENCE_SECONDS)
+        return answer.result(TIMEOUT_SECONDS)
 
     def wait_asked(self) -> None:
-        assert self.asked.acquire(timeout=PATIENCE_SECONDS)
+        assert self.asked.acquire(timeout=TIMEOUT_SECONDS)
 
 
 class SharedReadPointTests(unittest.TestCase):
-    """One question at a time, and none that began before the read did."""
+    """Requests are sent one at a time, and a read uses none sent before it began."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -38,67 +38,67 @@
         self.point = SharedReadPoint(self.clock, self.leader.ask)
         self.executor = self.enterContext(ThreadPoolExecutor(8))
 
-    def read(self, deadline: float = FAR) -> Future[int]:
+    def read(self, deadline: float = FAR_DEADLINE) -> Future[int]:
         return self.executor.submit(self.point.get, deadline)
 
     def wait_joined(self, count: int) -> None:
-        """Wait until so many reads wait for the end of a question."""
-        for _ in range(int(PATIENCE_SECONDS * 1_000)):
+        """Wait until ``count`` reads wait for a request to finish."""
+        for _ in range(int(TIMEOUT_SECONDS * 1_000)):
             if self.clock.waiters == count:
                 return
             threading.Event().wait(0.001)
-        self.fail("the reads do not wait")
+        self.fail(f"{self.clock.waiters} reads wait, not {count}")
 
-    def test_reads_that_wait_share_the_next_question(self) -> None:
-        """Guard against a crowd of first polls that asks the leader one by one."""
+    def test_waiting_reads_share_the_next_request(self) -> None:
+        """Guard against many first polls that each send a request to the leader."""
         first = self.read()
         self.leader.wait_asked()
         later = [self.read() for _ in range(5)]
         self.wait_joined(5)
         self.leader.answers[0].set_result(7)
-        self.assertEqual(first.result(PATIENCE_SECONDS), 7)
+        self.assertEqual(first.result(TIMEOUT_SECONDS), 7)
         self.leader.wait_asked()
         self.leader.answers[1].set_result(9)
-        results = [one.result(PATIENCE_SECONDS) for one in later]
+        results = [one.result(TIMEOUT_SECONDS) for one in later]
         self.assertEqual(results, [9] * 5)
         self.assertEqual(len(self.leader.answers), 2)
 
-    def test_a_read_takes_no_answer_to_a_question_before_it(self) -> None:
-        """Guard against a read that misses what was acknowledged before it began."""
+    def test_read_does_not_use_a_request_sent_before_it(self) -> None:
+        """Guard against a read that misses a change acknowledged before it began."""
         first = self.read()
         self.leader.wait_asked()
         second = self.read()
         self.wait_joined(1)
         self.leader.answers[0].set_result(7)
-        self.assertEqual(first.result(PATIENCE_SECONDS), 7)
+        self.assertEqual(first.result(TIMEOUT_SECONDS), 7)
         self.leader.wait_asked()
         self.assertFalse(second.done())
         self.leader.answers[1].set_result(8)
-        self.assertEqual(second.result(PATIENCE_SECONDS), 8)
+        self.assertEqual(second.result(TIMEOUT_SECONDS), 8)
 
-    def test_a_read_with_time_left_asks_after_a_failed_question(self) -> None:
-        """Guard against reads that fail with one that had less time."""
+    def test_read_with_time_left_retries_after_a_failed_request(self) -> None:
+        """Guard against reads that fail together with one that had less time."""
         first = self.read()
         self.leader.wait_asked()
         later = [self.read(), self.read()]
         self.wait_joined(2)
         self.leader.answers[0].set_result(7)
-        first.result(PATIENCE_SECONDS)
+        first.result(TIMEOUT_SECONDS)
         self.leader.wait_asked()
         self.leader.answers[1].set_exception(NotConfirmedError("too late"))
         self.leader.wait_asked()
         self.leader.answers[2].set_result(9)
-        outcomes = [one.exception(PATIENCE_SECONDS) for one in later]
+        outcomes = [one.exception(TIMEOUT_SECONDS) for one in later]
         self.assertEqual(sum(one is None for one in outcomes), 1)
         self.assertEqual(sum(isinstance(e, NotConfirmedError) for e in outcomes), 1)
 
-    def test_a_read_waits_no_longer_than_it_may(self) -> None:
+    def test_read_waits_no_longer_than_its_deadline(self) -> None:
         first = self.read()
         self.leader.wait_asked()
         second = self.read(deadline=1.0)
         self.wait_joined(1)
         self.clock.advance(1.1)
         with self.assertRaises(NotConfirmedError):
-            second.result(PATIENCE_SECONDS)
+            second.result(TIMEOUT_SECONDS)
         self.leader.answers[0].set_result(7)
-        self.assertEqual(first.result(PATIENCE_SECONDS), 7)
+        self.assertEqual(first.result(TIMEOUT_SECONDS), 7)
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of the durable files."""
+"""Tests of the durable files of a node."""
 
 import errno
 import os
@@ -34,7 +34,7 @@
 
 
 class StorageCase(unittest.TestCase):
-    """Open and reopen the files of one folder."""
+    """Base class that opens and reopens the files of one folder."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -53,7 +53,7 @@
 
 
 class FileLogStorageTests(StorageCase):
-    """What was written comes back."""
+    """What was written is read back."""
 
     def test_keeps_identity_vote_log_and_snapshot(self) -> None:
         snapshot = Snapshot(2, 1, Configuration.of(VOTERS), '{"x":1}')
@@ -88,8 +88,8 @@
         self.assertNotEqual(identity.incarnation, self.identity.incarnation)
 
     def test_lost_identity_is_refused(self) -> None:
-        # Story: an operator deletes one file, the node makes itself a new
-        # identity and votes again in a term in which it has voted.
+        # An operator deletes the identity file. With a newly created identity the node
+        # would vote again in a term in which it has voted.
         self.storage.save_vote(Vote(1, "someone"))
         (self.folder / "identity").unlink()
         with self.assertRaises(StorageCorruptError):
@@ -97,7 +97,7 @@
 
 
 class DamagedLogTests(StorageCase):
-    """A torn tail is cut; any other damage is refused."""
+    """A torn tail is removed; any other damage is refused."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -106,8 +106,8 @@
         self.log = self.folder / "log"
 
     def test_every_torn_tail_is_cut_and_written_over(self) -> None:
-        # Story: the power fails while the last record is on its way to the
-        # disk; the node must start again, and its next records must be whole.
+        # The power fails while the last record is being written. The node must be able
+        # to start again, and its next records must be valid.
         whole = self.log.read_bytes()
         last = len(whole.splitlines(keepends=True)[-1])
         for length in (1, last // 2, last - 1):
@@ -120,8 +120,8 @@
                 self.assertEqual(list(self.reopen().entries), kept)
 
     def test_damage_before_the_tail_is_refused(self) -> None:
-        # Story: a bit flips in a synced record. Cutting the log there would
-        # silently drop entries that this node has acknowledged.
+        # A bit flips in a synced record. Truncating the log there would silently drop
+        # entries that this node has acknowledged.
         content = bytearray(self.log.read_bytes())
         content[content.index(b'{\\"id\\":2}') + 7] ^= 1
         self.log.write_bytes(content)
@@ -142,17 +142,17 @@
 
 
 class FullDiskTests(StorageCase):
-    """After a failure the disk is asked before a new process is tried."""
+    """After a failure the disk is checked before the node is started again."""
 
-    def test_a_disk_that_refuses_is_told_from_one_that_takes_writes(self) -> None:
-        # A disk is full for some seconds. The process that failed on it ends and
-        # starts again three times in a row, to fail on each first write.
+    def test_full_disk_is_told_from_a_writable_one(self) -> None:
+        # A disk is full for some seconds. Without the check the process restarts three
+        # times in a row and fails at its first write each time.
         full = OSError(errno.ENOSPC, "No space left on device")
         with mock.patch.object(os, "fsync", side_effect=full):
             self.assertFalse(self.storage.takes_writes())
         self.assertTrue(self.storage.takes_writes())
 
-    def test_asking_leaves_nothing_behind(self) -> None:
+    def test_write_check_leaves_no_file(self) -> None:
         before = sorted(path.name for path in self.folder.iterdir())
         self.storage.takes_writes()
         after = sorted(path.name for path in self.folder.iterdir())
@@ -160,11 +160,11 @@
 
 
 class SyncTests(StorageCase):
-    """Nothing counts as durable before file and folder are synced."""
+    """Nothing counts as durable before the file and its folder are synced."""
 
     def test_replaced_files_and_their_folder_are_synced(self) -> None:
-        # Story: a vote is answered, the power fails, and the renamed file was
-        # never on the disk: the node votes a second time in the same term.
+        # A vote is granted, the power fails, and the rename of the file was never
+        # synced: the node votes a second time in the same term.
         order: list[str] = []
         real_fsync, real_replace = os.fsync, os.replace
 
@@ -189,9 +189,9 @@
             self.storage.save_vote(Vote(2, "c"))
         self.assertEqual(self.reopen().vote, Vote(1, "b"))
 
-    def test_disk_is_not_believed_after_a_failed_sync(self) -> None:
-        # Story: fsync fails once, the kernel drops the pages, the next fsync
-        # reports success, and the node acknowledges entries that are gone.
+    def test_no_sync_succeeds_after_a_failed_one(self) -> None:
+        # fsync fails once and the kernel drops the dirty pages. The next fsync reports
+        # success, and the node would acknowledge entries that are lost.
         self.storage.append(entries(1, 1))
         with (
             mock.patch("os.fsync", side_effect=OSError(errno.EIO, "bad")),
--- a/tests/consensus/test_vote_refusals.py
+++ b/tests/consensus/test_vote_refusals.py
@@ -1,4 +1,4 @@
-"""Tests of what a voter logs when it refuses its vote."""
+"""Tests of the log line of a refused vote."""
 
 import unittest
 from collections.abc import Iterator
@@ -15,11 +15,11 @@
 
 
 @contextmanager
-def logged() -> Iterator[list[str]]:
-    """Collect the lines that are logged.
+def captured_logs() -> Iterator[list[str]]:
+    """Capture the logged lines.
 
-    Each time with a whole budget of lines: tests that ran before in this process may
-    have used up that of an event, and it fills again by the machine's clock.
+    The rate limit is reset each time: earlier tests in this process may have used up
+    the line budget of an event, which refills by the system clock.
     """
     lines: list[str] = []
     sink = logger.add(lambda line: lines.append(str(line)), format="{message}")
@@ -31,10 +31,10 @@
 
 
 class VoteRefusalTests(unittest.TestCase):
-    """A group stays without a leader, and the logs say which vote was missing and why.
+    """The logs of a group without a leader show which vote was refused and why.
 
-    Callers were refused for seconds after a restart. The voters' logs showed one
-    election after the other, but not what the others had against the candidate.
+    Guards against voters that refuse callers for seconds after a restart and log one
+    election after another, but not why the other voters refuse the candidate.
     """
 
     def setUp(self) -> None:
@@ -48,14 +48,14 @@
     def ask(
         self, *, term: int, last_index: int = 100, is_pre_vote: bool = False
     ) -> str:
-        """Ask for a vote; return the line that says why it was refused."""
+        """Request a vote; return the log line of its refusal."""
         request = VoteRequest(
             **header(self.cluster, self.candidate, self.voter, term),
             last_index=last_index,
             last_term=self.term if last_index else 0,
             is_pre_vote=is_pre_vote,
         )
-        with logged() as lines:
+        with captured_logs() as lines:
             answer = self.cluster.nodes[self.voter].handle(
                 PATH_VOTE, request.model_dump(mode="json")
             )
@@ -63,16 +63,16 @@
         (line,) = [one for one in lines if "event=vote_refused" in one]
         return line
 
-    def lose_sight_of_the_leader(self) -> None:
+    def expire_leader_contact(self) -> None:
         self.cluster.advance(SETTINGS.election_timeout_min * 2)
 
-    def test_a_voter_that_hears_the_leader_says_so(self) -> None:
+    def test_recent_leader_contact_is_logged(self) -> None:
         line = self.ask(term=self.term + 1, is_pre_vote=True)
         self.assertIn("reason=hears_leader", line)
         self.assertIn(f"candidate={self.candidate}", line)
 
-    def test_a_candidate_that_lacks_entries_is_called_behind(self) -> None:
-        self.lose_sight_of_the_leader()
+    def test_candidate_with_a_log_behind_is_logged(self) -> None:
+        self.expire_leader_contact()
         for is_pre_vote in (True, False):
             with self.subTest(is_pre_vote=is_pre_vote):
                 line = self.ask(
@@ -80,12 +80,12 @@
                 )
                 self.assertIn("reason=log_behind", line)
 
-    def test_an_old_term_is_named(self) -> None:
-        self.lose_sight_of_the_leader()
+    def test_old_term_is_logged(self) -> None:
+        self.expire_leader_contact()
         self.assertIn("reason=old_term", self.ask(term=self.term - 1))
 
-    def test_a_vote_given_to_another_is_named(self) -> None:
-        self.lose_sight_of_the_leader()
+    def test_vote_for_another_candidate_is_logged(self) -> None:
+        self.expire_leader_contact()
         request = VoteRequest(
             **header(self.cluster, self.candidate, self.voter, self.term + 1),
             last_index=100,
