--- a/features/mutations/guards/recovery.py
+++ b/features/mutations/guards/recovery.py
@@ -40,7 +40,7 @@
     from dogwoodspool_consensus.replication import Replication
 
     original_delay = Replication._delay
-    original_take_response = Replication._take_response
+    original_take_response = Replication._handle_response
     # The first voters still have to find each other.
     first_entries = 50
 
@@ -53,13 +53,13 @@
         skip(self, progress)
         original_delay(self, progress)
 
-    def _take_response(self: Any, progress: Any, request: Any, response: Any) -> None:
+    def _handle_response(self: Any, progress: Any, request: Any, response: Any) -> None:
         original_take_response(self, progress, request, response)
         if not response.is_success:
             skip(self, progress)
 
     Replication._delay = _delay
-    Replication._take_response = _take_response
+    Replication._handle_response = _handle_response
 
 
 def transaction_not_begun() -> None:
--- a/packages/consensus/src/dogwoodspool_consensus/replication.py
+++ b/packages/consensus/src/dogwoodspool_consensus/replication.py
@@ -56,7 +56,7 @@
             if response is None:
                 self._delay(progress)
             elif state.record_response(peer, request, response, sent_at):
-                self._take_response(peer, request, response)
+                self._handle_response(peer, request, response)
 
     def handle_append(self, request: AppendRequest) -> AppendResponse:
         """Append the leader's entries and respond once they are durable."""
@@ -97,7 +97,7 @@
         settings = self._state.settings
         progress.retry_at = self._state.clock.now() + settings.heartbeat_interval
 
-    def _take_response(
+    def _handle_response(
         self, peer: str, request: AppendRequest, response: AppendResponse
     ) -> None:
         state = self._state
--- a/packages/consensus/src/dogwoodspool_consensus/snapshots.py
+++ b/packages/consensus/src/dogwoodspool_consensus/snapshots.py
@@ -49,7 +49,7 @@
                 interval = state.settings.heartbeat_interval
                 progress.retry_at = state.clock.now() + interval
             elif state.record_response(peer, request, response, sent_at):
-                self._take_response(peer, request, response)
+                self._handle_response(peer, request, response)
 
     def _build(self, peer: str, snapshot: Snapshot) -> SnapshotRequest:
         state = self._state
@@ -68,7 +68,7 @@
             is_last=end >= len(text),
         )
 
-    def _take_response(
+    def _handle_response(
         self, peer: str, request: SnapshotRequest, response: SnapshotResponse
     ) -> None:
         progress = self._state.progress_of(peer)
