--- a/packages/control/src/dogwoodspool_control/http/poll_pace.py
+++ b/packages/control/src/dogwoodspool_control/http/poll_pace.py
@@ -3,7 +3,7 @@
 import threading
 
 from dogwoodspool_common import Clock
-from dogwoodspool_limits import ReturnSchedule
+from dogwoodspool_limits import RetrySchedule
 
 from ..const import POLL_HORIZON_SECONDS, POLL_PAUSE_SECONDS, POLL_SPACING_SECONDS
 
@@ -19,11 +19,11 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._returns = ReturnSchedule(POLL_HORIZON_SECONDS)
+        self._returns = RetrySchedule(POLL_HORIZON_SECONDS)
 
     def take_turn(self) -> float:
         """Return the seconds after which the next of them comes back."""
         with self._lock:
-            return self._returns.take_turn(
+            return self._returns.schedule_retry(
                 self._clock.now(), POLL_PAUSE_SECONDS, POLL_SPACING_SECONDS
             )
--- a/packages/emulator/src/dogwoodspool_emulator/proxies.py
+++ b/packages/emulator/src/dogwoodspool_emulator/proxies.py
@@ -270,7 +270,9 @@
             elif ticket.state is TicketState.DISPLACED:
                 self._give_up(run, ticket)
 
-        arrived = backend.queue.arrive(start_by, attempt.kind.priority, changed)
+        arrived = backend.queue.request_admission(
+            start_by, attempt.kind.priority, changed
+        )
         if arrived.is_error():
             ended(Error(_refused(arrived.error)))
             return
@@ -286,7 +288,7 @@
         self._timeline.after(ticket.latest_start - self._timeline.now(), time_out)
 
     def _give_up(self, run: _Run, ticket: Ticket) -> None:
-        run.ended(Error(_refused(run.backend.queue.give_up(ticket))))
+        run.ended(Error(_refused(run.backend.queue.refuse_ticket(ticket))))
 
     def _connect(self, run: _Run, ticket: Ticket) -> None:
         backend = run.backend
@@ -372,7 +374,9 @@
 
     def _full(self, server: Server) -> Refused:
         backend = self._backends[server.described.name]
-        return Refused("server busy", backend.queue.return_after_ms() / MILLISECONDS)
+        return Refused(
+            "server busy", backend.queue.next_retry_after_ms() / MILLISECONDS
+        )
 
     def _backend(self, server: Server) -> Backend:
         name = server.described.name
--- a/packages/limits/src/dogwoodspool_limits/__init__.py
+++ b/packages/limits/src/dogwoodspool_limits/__init__.py
@@ -5,7 +5,7 @@
 from .concurrency import AdaptiveConcurrency
 from .models import AdmissionOutcome, Priority, Refusal, RefusalReason
 from .retry_budget import RetryBudget
-from .return_schedule import ReturnSchedule
+from .retry_schedule import RetrySchedule
 from .statement_queue import StatementQueue, Ticket, TicketState
 
 __all__ = [
@@ -17,7 +17,7 @@
     "Refusal",
     "RefusalReason",
     "RetryBudget",
-    "ReturnSchedule",
+    "RetrySchedule",
     "StatementQueue",
     "Ticket",
     "TicketState",
--- a/packages/limits/src/dogwoodspool_limits/admission.py
+++ b/packages/limits/src/dogwoodspool_limits/admission.py
@@ -77,10 +77,10 @@
         with self._lock:
             return self._queue.estimated_wait(priority)
 
-    def return_after_ms(self) -> int:
+    def next_retry_after_ms(self) -> int:
         """Return when a caller shall come back whom the server itself refused."""
         with self._lock:
-            return self._queue.return_after_ms()
+            return self._queue.next_retry_after_ms()
 
     def set_max_in_flight(self, share: int) -> None:
         """Change the share of connections."""
@@ -101,17 +101,19 @@
         """
         changed = threading.Condition(self._lock)
         with self._lock:
-            arrived = self._queue.arrive(deadline, priority, changed.notify_all)
+            arrived = self._queue.request_admission(
+                deadline, priority, changed.notify_all
+            )
             if arrived.is_error():
                 return Error(arrived.error)
             ticket = arrived.ok
             while ticket.state is TicketState.WAITING:
                 remaining = ticket.latest_start - self._clock.now()
                 if remaining <= 0:
-                    return Error(self._queue.give_up(ticket))
+                    return Error(self._queue.refuse_ticket(ticket))
                 self._clock.wait(changed, remaining)
             if ticket.state is TicketState.DISPLACED:
-                return Error(self._queue.give_up(ticket))
+                return Error(self._queue.refuse_ticket(ticket))
             return Ok(Admission(partial(self._end, ticket)))
 
     def _end(self, ticket: Ticket, latency: float, outcome: AdmissionOutcome) -> None:
--- a/packages/limits/src/dogwoodspool_limits/retry_budget.py
+++ b/packages/limits/src/dogwoodspool_limits/retry_budget.py
@@ -27,7 +27,7 @@
         self._filled_at = clock.now()
         self._tokens = self._capacity()
 
-    def note_served(self) -> None:
+    def record_served(self) -> None:
         """Earn the share of one statement served."""
         with self._lock:
             self._fill(self._ratio)
@@ -41,7 +41,7 @@
             self._tokens -= 1
             return True
 
-    def change(self, ratio: float, min_per_second: float) -> None:
+    def update_settings(self, ratio: float, min_per_second: float) -> None:
         """Put other settings in force."""
         with self._lock:
             self._fill(0.0)
--- a/packages/limits/src/dogwoodspool_limits/return_schedule.py
+++ b/packages/limits/src/dogwoodspool_limits/retry_schedule.py
@@ -3,7 +3,7 @@
 from .const import RETURN_HORIZON
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Give refused callers turns to return, in the order of their refusals.
 
     The load pattern that it answers: a burst, in which many callers are refused
@@ -22,7 +22,7 @@
         self._horizon = horizon
         self._latest = 0.0
 
-    def take_turn(self, now: float, wait: float, spacing: float) -> float:
+    def schedule_retry(self, now: float, wait: float, spacing: float) -> float:
         """Return the seconds after which the next refused caller shall come back.
 
         Args:
--- a/packages/limits/src/dogwoodspool_limits/statement_queue.py
+++ b/packages/limits/src/dogwoodspool_limits/statement_queue.py
@@ -18,7 +18,7 @@
     URGENT_PLACES,
 )
 from .models import AdmissionOutcome, Priority, Refusal, RefusalReason
-from .return_schedule import ReturnSchedule
+from .retry_schedule import RetrySchedule
 
 
 class TicketState(Enum):
@@ -74,12 +74,12 @@
         slots: int,
         max_in_flight: int,
         queue_limit: int,
-        returns: ReturnSchedule | None = None,
+        returns: RetrySchedule | None = None,
     ) -> None:
         self._clock = clock
         self._queue_limit = queue_limit
         self._concurrency = AdaptiveConcurrency(clock, slots, max_in_flight)
-        self._returns = returns or ReturnSchedule()
+        self._returns = returns or RetrySchedule()
         self._service_time = DEFAULT_SERVICE_TIME
         self._deviation = 0.0
         # Statements in flight by priority.
@@ -123,7 +123,7 @@
         # Each turn of the limit's statements takes one service time.
         return (ahead + 1) * self._service_time / self._concurrency.limit
 
-    def arrive(
+    def request_admission(
         self, deadline: float, priority: int, notify: Callable[[], None]
     ) -> Result[Ticket, Refusal]:
         """Admit a statement, let it wait or refuse it.
@@ -152,7 +152,7 @@
         self._serve()
         return Ok(ticket)
 
-    def give_up(self, ticket: Ticket) -> Refusal:
+    def refuse_ticket(self, ticket: Ticket) -> Refusal:
         """Refuse a statement that waited in vain or lost its place."""
         if ticket.state is TicketState.DISPLACED:
             return self._refuse(RefusalReason.DISPLACED)
@@ -179,7 +179,7 @@
         self._in_flight[ticket.priority] -= 1
         self._serve()
 
-    def return_after_ms(self) -> int:
+    def next_retry_after_ms(self) -> int:
         """Return when a caller shall come back whom the server itself refused.
 
         Its own queue was full, which takes about as long to empty as the statements
@@ -242,5 +242,5 @@
 
     def _return_after_ms(self, wait: float) -> int:
         spacing = self._service_time / self._concurrency.limit
-        return_after = self._returns.take_turn(self._clock.now(), wait, spacing)
+        return_after = self._returns.schedule_retry(self._clock.now(), wait, spacing)
         return max(MIN_RETRY_AFTER_MS, round(return_after * MILLISECONDS))
--- a/packages/pooler/src/dogwoodspool_pooler/pooled_hold.py
+++ b/packages/pooler/src/dogwoodspool_pooler/pooled_hold.py
@@ -140,7 +140,7 @@
         error = reply.error
         if error is None or error.code is not ErrorCode.BUSY or error.retry_after_ms:
             return reply
-        retry_after_ms = self._backend.admission.return_after_ms()
+        retry_after_ms = self._backend.admission.next_retry_after_ms()
         return replace(reply, error=replace(error, retry_after_ms=retry_after_ms))
 
     def _leave_place(self) -> None:
--- a/packages/proxy/src/dogwoodspool_proxy/app.py
+++ b/packages/proxy/src/dogwoodspool_proxy/app.py
@@ -252,7 +252,9 @@
 
     def _follow_settings(self, _view: ProxyView) -> None:
         settings = self._views.settings(None)
-        self._budget.change(settings.retry_budget_ratio, settings.retry_budget_min)
+        self._budget.update_settings(
+            settings.retry_budget_ratio, settings.retry_budget_min
+        )
 
     def _follow_servers(self, view: ProxyView) -> None:
         self._table.adopt_committed(view.servers.values())
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -292,7 +292,7 @@
             log_event("read_moved", level="DEBUG", server=name, error=error)
             self._access.report_failure(held.server, error)
             return TryAnother(name, unknown(f"{name} did not answer"), is_retry=True)
-        self._budget.note_served()
+        self._budget.record_served()
         return rows_answer(held, result)
 
 
--- a/packages/proxy/src/dogwoodspool_proxy/writes.py
+++ b/packages/proxy/src/dogwoodspool_proxy/writes.py
@@ -202,7 +202,7 @@
         refusal = self.confirm(caller, permit, position)
         if refusal is not None:
             return refusal
-        self._budget.note_served()
+        self._budget.record_served()
         caller.last_insert_id = written.last_insert_id or caller.last_insert_id
         return written.answer()
 
--- a/tests/limits/replay.py
+++ b/tests/limits/replay.py
@@ -16,7 +16,7 @@
     AdmissionOutcome,
     Priority,
     Refusal,
-    ReturnSchedule,
+    RetrySchedule,
     StatementQueue,
     Ticket,
     TicketState,
@@ -211,7 +211,7 @@
     """The queue of the product."""
 
     def __init__(
-        self, simulation: Simulation, returns: ReturnSchedule | None = None
+        self, simulation: Simulation, returns: RetrySchedule | None = None
     ) -> None:
         self._simulation = simulation
         self._queue = StatementQueue(
@@ -225,7 +225,9 @@
             assert ticket is not None
             self._go_on(ticket, attempt)
 
-        arrived = self._queue.arrive(attempt.deadline, Priority.READ, changed)
+        arrived = self._queue.request_admission(
+            attempt.deadline, Priority.READ, changed
+        )
         if arrived.is_error():
             self._refuse(attempt, arrived.error)
             return
@@ -238,14 +240,14 @@
         if ticket.state is TicketState.ADMITTED:
             attempt.start(partial(self._end, ticket))
         elif ticket.state is TicketState.DISPLACED:
-            self._refuse(attempt, self._queue.give_up(ticket))
+            self._refuse(attempt, self._queue.refuse_ticket(ticket))
 
     def _end(self, ticket: Ticket, latency: float) -> None:
         self._queue.end(ticket, latency, AdmissionOutcome.ANSWERED)
 
     def _expire(self, ticket: Ticket, attempt: Attempt) -> None:
         if ticket.state is TicketState.WAITING:
-            self._refuse(attempt, self._queue.give_up(ticket))
+            self._refuse(attempt, self._queue.refuse_ticket(ticket))
 
     def _refuse(self, attempt: Attempt, refusal: Refusal) -> None:
         attempt.refused(refusal.retry_after_ms / MILLISECONDS)
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -140,7 +140,7 @@
     def test_they_come_back_when_its_queue_may_have_room(self) -> None:
         """Guard against a crowd that returns at once to a server that is full."""
         queue = self.queue()
-        turns = [queue.return_after_ms() for _ in range(4)]
+        turns = [queue.next_retry_after_ms() for _ in range(4)]
         self.assertGreaterEqual(turns[0], 10)
         self.assertEqual(turns, sorted(set(turns)))
 
@@ -184,7 +184,7 @@
 
     def arrive(self, priority: Priority) -> Ticket:
         """Let a statement arrive that has time."""
-        arrived = self.queue.arrive(1_000.0, priority, lambda: None)
+        arrived = self.queue.request_admission(1_000.0, priority, lambda: None)
         assert arrived.is_ok()
         return arrived.ok
 
--- a/tests/limits/test_concurrency.py
+++ b/tests/limits/test_concurrency.py
@@ -77,7 +77,7 @@
         budget = RetryBudget(ManualClock(), 0.1, 0)
         self.assertEqual(self.spend_all(budget), 10)
         for _ in range(55):
-            budget.note_served()
+            budget.record_served()
         self.assertEqual(self.spend_all(budget), 5)
 
     def test_rare_statements_may_be_retried(self) -> None:
--- a/tests/limits/test_replayed_load.py
+++ b/tests/limits/test_replayed_load.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Callable
 
-from dogwoodspool_limits import ReturnSchedule
+from dogwoodspool_limits import RetrySchedule
 
 from .replay import (
     PATIENCE_SECONDS,
@@ -23,7 +23,7 @@
 
 def returning_together(simulation: Simulation) -> Proxy:
     """Build the queue with one time of return for all who are refused."""
-    return Queued(simulation, ReturnSchedule(horizon=0.0))
+    return Queued(simulation, RetrySchedule(horizon=0.0))
 
 
 class ReplayTestCase(unittest.TestCase):
@@ -108,21 +108,21 @@
     """Turns to return lie apart, in order and within the horizon."""
 
     def test_turns_lie_apart_by_one_statement(self) -> None:
-        schedule = ReturnSchedule(horizon=1.0)
-        turns = [schedule.take_turn(10.0, 0.02, 0.25) for _ in range(3)]
+        schedule = RetrySchedule(horizon=1.0)
+        turns = [schedule.schedule_retry(10.0, 0.02, 0.25) for _ in range(3)]
         self.assertEqual([round(turn, 6) for turn in turns], [0.02, 0.27, 0.52])
 
     def test_turns_stay_within_the_horizon(self) -> None:
-        schedule = ReturnSchedule(horizon=PATIENCE_SECONDS)
-        turns = [schedule.take_turn(10.0, 0.0, 0.3) for _ in range(10)]
+        schedule = RetrySchedule(horizon=PATIENCE_SECONDS)
+        turns = [schedule.schedule_retry(10.0, 0.0, 0.3) for _ in range(10)]
         self.assertEqual(max(turns), PATIENCE_SECONDS)
 
     def test_a_queue_beyond_the_horizon_is_told_as_it_is(self) -> None:
-        schedule = ReturnSchedule(horizon=0.25)
-        self.assertAlmostEqual(schedule.take_turn(10.0, 2.0, 0.01), 2.0)
+        schedule = RetrySchedule(horizon=0.25)
+        self.assertAlmostEqual(schedule.schedule_retry(10.0, 2.0, 0.01), 2.0)
 
     def test_old_turns_are_forgotten(self) -> None:
-        schedule = ReturnSchedule(horizon=1.0)
+        schedule = RetrySchedule(horizon=1.0)
         for _ in range(10):
-            schedule.take_turn(10.0, 0.0, 0.1)
-        self.assertEqual(schedule.take_turn(20.0, 0.0, 0.1), 0.0)
+            schedule.schedule_retry(10.0, 0.0, 0.1)
+        self.assertEqual(schedule.schedule_retry(20.0, 0.0, 0.1), 0.0)
