--- a/packages/limits/src/dogwoodspool_limits/__init__.py
+++ b/packages/limits/src/dogwoodspool_limits/__init__.py
@@ -1,4 +1,4 @@
-"""Bound work: admission, adaptive concurrency, retry budgets."""
+"""Bound the work on backend servers: admission, adaptive concurrency, retry budgets."""
 
 from .admission import Admission, AdmissionQueue
 from .base_share import base_share
--- a/packages/limits/src/dogwoodspool_limits/admission.py
+++ b/packages/limits/src/dogwoodspool_limits/admission.py
@@ -1,4 +1,4 @@
-"""Let threads wait for the right to run a statement on one backend server."""
+"""Block threads until they may run a statement on one backend server."""
 
 import threading
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 
 
 class Admission:
-    """The right to run one statement; given back once, whatever came of it."""
+    """The right to run one statement; released once, whatever the outcome."""
 
     def __init__(self, end: Callable[[float, AdmissionOutcome], None]) -> None:
         self._end = end
         self._is_done = False
 
     def done(self, latency_s: float, outcome: AdmissionOutcome) -> None:
-        """Give the right back; a second call changes nothing.
+        """Release the admission; a second call has no effect.
 
         Args:
             latency_s: seconds that the statement took on the server.
@@ -31,7 +31,7 @@
 
 
 class AdmissionQueue:
-    """A short queue before one backend server, in which threads wait.
+    """A thread-safe admission queue of one backend server.
 
     ``StatementQueue`` decides; this class locks it and blocks the callers that wait.
 
@@ -56,7 +56,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Statements that are admitted and not done."""
+        """Statements that are admitted and have not ended."""
         with self._lock:
             return self._queue.in_flight
 
@@ -68,27 +68,27 @@
 
     @property
     def service_time(self) -> float:
-        """Moving average of a statement's seconds on the server."""
+        """Moving average of the seconds that a statement takes on the server."""
         with self._lock:
             return self._queue.service_time
 
     def estimated_wait(self, priority: int) -> float:
-        """Return the seconds that a new statement would wait, 0 when it would not."""
+        """Return the seconds that a new statement would wait, 0 if none."""
         with self._lock:
             return self._queue.estimated_wait(priority)
 
     def next_retry_after_ms(self) -> int:
-        """Return when a caller shall come back whom the server itself refused."""
+        """Return the retry delay of a caller whom the server itself refused."""
         with self._lock:
             return self._queue.next_retry_after_ms()
 
     def set_max_in_flight(self, share: int) -> None:
-        """Change the share of connections."""
+        """Set this process's share of connections."""
         with self._lock:
             self._queue.set_max_in_flight(share)
 
     def set_queue_limit(self, queue_limit: int) -> None:
-        """Change how many statements may wait."""
+        """Set how many statements may wait."""
         with self._lock:
             self._queue.set_queue_limit(queue_limit)
 
@@ -96,17 +96,17 @@
         """Wait for the right to run a statement.
 
         Args:
-            deadline: clock seconds at which the statement is of no more use.
+            deadline: clock seconds after which the answer is no longer needed.
             priority: its priority; a lower number goes first.
         """
         changed = threading.Condition(self._lock)
         with self._lock:
-            arrived = self._queue.request_admission(
+            requested = self._queue.request_admission(
                 deadline, priority, changed.notify_all
             )
-            if arrived.is_error():
-                return Error(arrived.error)
-            ticket = arrived.ok
+            if requested.is_error():
+                return Error(requested.error)
+            ticket = requested.ok
             while ticket.state is TicketState.WAITING:
                 remaining = ticket.latest_start - self._clock.now()
                 if remaining <= 0:
--- a/packages/limits/src/dogwoodspool_limits/base_share.py
+++ b/packages/limits/src/dogwoodspool_limits/base_share.py
@@ -1,13 +1,14 @@
-"""The connections that a proxy may always hold, also when it is cut off."""
+"""The connections that a proxy may hold even while disconnected from control."""
 
 from dogwoodspool_settings import EffectiveSettings
 
 
 def base_share(connections: int, settings: EffectiveSettings) -> int:
-    """Return what each proxy may always hold of a server's connections.
+    """Return how many of a server's connections each proxy may always hold.
 
-    Control and the proxies compute it alike: a proxy that is cut off goes by it,
-    and control leases to others what is left after all base shares.
+    Control and the proxies compute the same value: a proxy that is disconnected from
+    control keeps to it, and control leases only the connections that remain after
+    all base shares.
 
     Example:
         >>> base_share(20, EffectiveSettings())
--- a/packages/limits/src/dogwoodspool_limits/models.py
+++ b/packages/limits/src/dogwoodspool_limits/models.py
@@ -5,7 +5,7 @@
 
 
 class Priority(IntEnum):
-    """Who goes first when statements wait; lower goes first."""
+    """Priority of a waiting statement; a lower number goes first."""
 
     WRITE = 0
     READ_PRIMARY = 1
@@ -16,9 +16,10 @@
     """How an admitted statement ended.
 
     Attributes:
-        ANSWERED: the server worked on it, be it with an error.
-        NO_WORK: it was not sent, or answered without work: that says nothing of load.
-        OVERLOADED: the server refused it since it has too much to do.
+        ANSWERED: the server ran it, whether with a result or with an error.
+        NO_WORK: it was not sent, or answered without work, so it says nothing about
+            the server's load.
+        OVERLOADED: the server refused it because of its load.
         UNANSWERED: no complete answer came.
     """
 
@@ -42,8 +43,8 @@
     """A statement that was not admitted and did not run.
 
     Attributes:
-        retry_after_ms: when the caller's turn to come back is.
-        reason: why.
+        retry_after_ms: milliseconds after which the caller should retry.
+        reason: why it was not admitted.
     """
 
     retry_after_ms: int
--- a/packages/limits/src/dogwoodspool_limits/retry_budget.py
+++ b/packages/limits/src/dogwoodspool_limits/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bound retries by a share of the statements served."""
+"""Bound retries by a fraction of the statements served."""
 
 import threading
 
@@ -10,13 +10,14 @@
 class RetryBudget:
     """A token bucket for retries.
 
-    When a server fails, every statement on it may want a retry at once, and the
-    retries keep down what is left. The bucket is filled by a share of the
-    statements served and by a small rate, so that rare statements can be retried.
+    When a server fails, every statement on it may be retried at once, and the retries
+    overload the remaining servers. The bucket is filled by a fraction of the
+    statements served and at a small constant rate, so that statements can be retried
+    where there are few of them.
 
     Args:
-        ratio: retries earned by one statement served.
-        min_per_second: retries earned by one second.
+        ratio: retries earned per statement served.
+        min_per_second: retries earned per second.
     """
 
     def __init__(self, clock: Clock, ratio: float, min_per_second: float) -> None:
@@ -28,12 +29,12 @@
         self._tokens = self._capacity()
 
     def record_served(self) -> None:
-        """Earn the share of one statement served."""
+        """Record a statement served, which earns a fraction of a retry."""
         with self._lock:
             self._fill(self._ratio)
 
     def try_spend(self) -> bool:
-        """Take the right to one retry; False when there is none."""
+        """Spend one retry; return False when the budget has none left."""
         with self._lock:
             self._fill(0.0)
             if self._tokens < 1:
@@ -42,7 +43,7 @@
             return True
 
     def update_settings(self, ratio: float, min_per_second: float) -> None:
-        """Put other settings in force."""
+        """Change the rates at which retries are earned."""
         with self._lock:
             self._fill(0.0)
             self._ratio = ratio
@@ -50,8 +51,8 @@
             self._tokens = min(self._tokens, self._capacity())
 
     def _capacity(self) -> float:
-        saved_by_time = self._min_per_second * RETRY_BURST_SECONDS
-        return saved_by_time + self._ratio * RETRY_BURST_STATEMENTS
+        earned_by_time = self._min_per_second * RETRY_BURST_SECONDS
+        return earned_by_time + self._ratio * RETRY_BURST_STATEMENTS
 
     def _fill(self, earned: float) -> None:
         now = self._clock.now()
--- a/tests/limits/replay.py
+++ b/tests/limits/replay.py
@@ -1,4 +1,4 @@
-"""Replay a load on several proxies before one backend server, in simulated time."""
+"""Replay a load on several proxies of one backend server, in simulated time."""
 
 import heapq
 import random
@@ -23,7 +23,7 @@
 )
 
 SLOTS = 3
-# The mean of a statement's time, which a lognormal distribution spreads.
+# Mean and spread of a statement's time, which has a lognormal distribution.
 WORK_SECONDS = 0.024
 WORK_SPREAD = 0.7
 CAPACITY_PER_SECOND = SLOTS / WORK_SECONDS
@@ -31,20 +31,20 @@
 # A proxy's share of the server's connections, and the statements it lets wait.
 SHARE = 4
 QUEUE_LIMIT = 64
-# How long one attempt may wait for its start; how long a caller waits in all.
+# How long one attempt may wait for its start, and how long a caller waits in all.
 ATTEMPT_SECONDS = 0.1
-PATIENCE_SECONDS = 1.0
+CALLER_TIMEOUT_SECONDS = 1.0
 RETRIES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A span of the load.
+    """A phase of the load.
 
     Attributes:
         seconds: how long it takes.
-        times_capacity: requests in relation to what the server can do.
-        busy_proxies: the proxies among which all requests are spread.
+        times_capacity: request rate as a multiple of the server's capacity.
+        busy_proxies: number of proxies that all requests are spread over.
     """
 
     seconds: float
@@ -83,7 +83,7 @@
 
 
 class Simulation:
-    """Events in the order of their times."""
+    """Discrete-event simulation: run events in the order of their times."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -104,7 +104,7 @@
 
 
 class Server:
-    """Some slots behind one queue without a bound, as servers have it."""
+    """A server with some slots and an unbounded queue, like real servers."""
 
     def __init__(self, simulation: Simulation, work: random.Random) -> None:
         self._simulation = simulation
@@ -134,24 +134,24 @@
 
 
 class Attempt:
-    """One arrival at a proxy."""
+    """One attempt of a request at a proxy."""
 
     def __init__(
         self,
         simulation: Simulation,
         server: Server,
-        gives_up_at: float,
+        caller_deadline: float,
         answered: Callable[[], None],
         refused: Callable[[float], None],
     ) -> None:
         self.simulation = simulation
-        self.deadline = min(simulation.clock.now() + ATTEMPT_SECONDS, gives_up_at)
+        self.deadline = min(simulation.clock.now() + ATTEMPT_SECONDS, caller_deadline)
         self.refused = refused
         self._server = server
         self._answered = answered
 
     def start(self, ended: Callable[[float], None]) -> None:
-        """Run on the server; tell the latency to who bounds the work."""
+        """Run on the server and report the latency to ``ended``."""
         began_at = self.simulation.clock.now()
 
         def end() -> None:
@@ -162,37 +162,37 @@
 
 
 class Proxy(Protocol):
-    """What stands between the callers and the server."""
+    """A proxy between the callers and the server."""
 
-    def take(self, attempt: Attempt) -> None:
+    def submit(self, attempt: Attempt) -> None:
         """Start an attempt now or later, or refuse it."""
         ...
 
 
 class Unbounded:
-    """The baseline without any admission: everything goes to the server."""
+    """Baseline without admission control: every attempt goes to the server."""
 
     def __init__(self, _simulation: Simulation) -> None:
         pass
 
-    def take(self, attempt: Attempt) -> None:
+    def submit(self, attempt: Attempt) -> None:
         attempt.start(lambda _latency: None)
 
 
 class StaticSplit:
-    """The baseline of a plain pool: an even part of the slots, in order of arrival."""
+    """Baseline of a plain pool: an equal part of the slots, in order of arrival."""
 
     def __init__(self, _simulation: Simulation) -> None:
         self._limit = max(1, SLOTS // PROXIES)
         self._running = 0
         self._waiting: deque[Attempt] = deque()
 
-    def take(self, attempt: Attempt) -> None:
+    def submit(self, attempt: Attempt) -> None:
         self._waiting.append(attempt)
-        attempt.simulation.at(attempt.deadline, lambda: self._give_up(attempt))
+        attempt.simulation.at(attempt.deadline, lambda: self._expire(attempt))
         self._start()
 
-    def _give_up(self, attempt: Attempt) -> None:
+    def _expire(self, attempt: Attempt) -> None:
         if attempt in self._waiting:
             self._waiting.remove(attempt)
             attempt.refused(1 / MILLISECONDS)
@@ -208,35 +208,35 @@
 
 
 class Queued:
-    """The queue of the product."""
+    """The project's admission queue."""
 
     def __init__(
-        self, simulation: Simulation, returns: RetrySchedule | None = None
+        self, simulation: Simulation, retry_schedule: RetrySchedule | None = None
     ) -> None:
         self._simulation = simulation
         self._queue = StatementQueue(
-            simulation.clock, SLOTS, SHARE, QUEUE_LIMIT, returns
+            simulation.clock, SLOTS, SHARE, QUEUE_LIMIT, retry_schedule
         )
 
-    def take(self, attempt: Attempt) -> None:
+    def submit(self, attempt: Attempt) -> None:
         ticket: Ticket | None = None
 
         def changed() -> None:
             assert ticket is not None
-            self._go_on(ticket, attempt)
+            self._handle_state(ticket, attempt)
 
-        arrived = self._queue.request_admission(
+        requested = self._queue.request_admission(
             attempt.deadline, Priority.READ, changed
         )
-        if arrived.is_error():
-            self._refuse(attempt, arrived.error)
+        if requested.is_error():
+            self._refuse(attempt, requested.error)
             return
-        ticket = arrived.ok
-        self._go_on(ticket, attempt)
+        ticket = requested.ok
+        self._handle_state(ticket, attempt)
         waiting = ticket
         self._simulation.at(ticket.latest_start, lambda: self._expire(waiting, attempt))
 
-    def _go_on(self, ticket: Ticket, attempt: Attempt) -> None:
+    def _handle_state(self, ticket: Ticket, attempt: Attempt) -> None:
         if ticket.state is TicketState.ADMITTED:
             attempt.start(partial(self._end, ticket))
         elif ticket.state is TicketState.DISPLACED:
@@ -254,9 +254,9 @@
 
 
 class Replay:
-    """Callers who come as a load says, and return when they are told to.
+    """Replay the requests of a load; refused callers retry after the given delay.
 
-    The same seed gives the same arrivals and the same work, whatever stands between.
+    The same seed gives the same arrivals and the same work, whatever the proxies.
     """
 
     def __init__(
@@ -289,23 +289,25 @@
     def _attempt(self, proxy: Proxy, began_at: float, retries: int) -> None:
         clock = self.simulation.clock
         attempted_at = clock.now()
-        gives_up_at = began_at + PATIENCE_SECONDS
+        caller_deadline = began_at + CALLER_TIMEOUT_SECONDS
         self.outcomes.attempts += 1
 
         def answered() -> None:
-            if clock.now() <= gives_up_at:
+            if clock.now() <= caller_deadline:
                 self.outcomes.in_time += 1
             else:
                 self.outcomes.late += 1
 
         def refused(retry_after: float) -> None:
             self.outcomes.seconds_to_refusal.append(clock.now() - attempted_at)
-            if not retries or clock.now() + retry_after >= gives_up_at:
+            if not retries or clock.now() + retry_after >= caller_deadline:
                 self.outcomes.refused += 1
                 return
             self.simulation.after(
                 retry_after, lambda: self._attempt(proxy, began_at, retries - 1)
             )
 
-        attempt = Attempt(self.simulation, self._server, gives_up_at, answered, refused)
-        proxy.take(attempt)
+        attempt = Attempt(
+            self.simulation, self._server, caller_deadline, answered, refused
+        )
+        proxy.submit(attempt)
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -23,7 +23,7 @@
 
 
 class AdmissionTestCase(unittest.TestCase):
-    """A queue before a server with one slot and an average of 10 ms."""
+    """A queue of a server with one slot and an average service time of 10 ms."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -41,7 +41,7 @@
         deadline: float,
         priority: Priority = Priority.READ,
     ) -> "Future[Admitted]":
-        """Start a caller and return once it stands in the queue."""
+        """Start a caller and return once it waits in the queue or was refused."""
         waiting = queue.waiting
         future = self.executor.submit(queue.admit, deadline, priority)
         while queue.waiting == waiting and not future.done():
@@ -50,7 +50,7 @@
 
 
 class DeadlineTests(AdmissionTestCase):
-    """What cannot be served in time is refused, and at once where it is known."""
+    """A statement that cannot end in time is refused, at once where that is known."""
 
     def test_room_admits_at_once(self) -> None:
         self.assertTrue(self.queue().admit(0.001, Priority.READ).is_ok())
@@ -86,7 +86,7 @@
         held.done(0.01, AdmissionOutcome.ANSWERED)
         self.assertEqual(queue.in_flight, 0)
 
-    def test_second_done_gives_nothing_back(self) -> None:
+    def test_second_done_has_no_effect(self) -> None:
         queue = self.queue()
         held = queue.admit(1000, Priority.READ).ok
         held.done(0.01, AdmissionOutcome.ANSWERED)
@@ -94,11 +94,15 @@
         self.assertEqual(queue.in_flight, 0)
 
 
-class WithdrawalTests(unittest.TestCase):
-    """A statement that was not sent leaves no trace but its place."""
+class NoWorkTests(unittest.TestCase):
+    """A statement that was not sent frees its admission and changes no limit."""
 
     def test_full_connections_do_not_lower_the_limit(self) -> None:
-        """Guard against servers with free slots that get one statement at a time."""
+        """Guard against a server with free slots that gets one statement at a time.
+
+        Statements that find no free connection are never sent. If they counted as
+        unanswered, they would lower the limit to one.
+        """
         queue = AdmissionQueue(ManualClock(), 4, 8, 64)
         for _ in range(100):
             admission = queue.admit(1000, Priority.READ).ok
@@ -108,7 +112,7 @@
 
 
 class PriorityTests(AdmissionTestCase):
-    """The primary is kept for writes and for reads that need it."""
+    """Writes and reads that need the primary go before other reads."""
 
     def test_write_goes_before_reads_that_came_first(self) -> None:
         queue = self.queue()
@@ -119,7 +123,7 @@
         write.result(5).ok.done(0.01, AdmissionOutcome.ANSWERED)
         read.result(5).ok.done(0.01, AdmissionOutcome.ANSWERED)
 
-    def test_full_queue_gives_a_reads_place_to_a_write(self) -> None:
+    def test_write_displaces_a_read_in_a_full_queue(self) -> None:
         queue = self.queue(queue_limit=2)
         held = queue.admit(1000, Priority.READ).ok
         kept = self.wait_in(queue, 1000, Priority.READ)
@@ -134,35 +138,35 @@
         kept.result(5).ok.done(0.01, AdmissionOutcome.ANSWERED)
 
 
-class ReturnTests(AdmissionTestCase):
-    """Callers whom the server itself refused come back one after the other."""
+class ServerRefusalTests(AdmissionTestCase):
+    """Callers whom the server itself refused retry one after the other."""
 
-    def test_they_come_back_when_its_queue_may_have_room(self) -> None:
-        """Guard against a crowd that returns at once to a server that is full."""
+    def test_retries_wait_until_the_servers_queue_may_have_room(self) -> None:
+        """Guard against callers that all retry at once on a full server."""
         queue = self.queue()
-        turns = [queue.next_retry_after_ms() for _ in range(4)]
-        self.assertGreaterEqual(turns[0], 10)
-        self.assertEqual(turns, sorted(set(turns)))
+        delays = [queue.next_retry_after_ms() for _ in range(4)]
+        self.assertGreaterEqual(delays[0], 10)
+        self.assertEqual(delays, sorted(set(delays)))
 
 
 class BoundTests(unittest.TestCase):
-    """Statements in flight never pass the limit."""
+    """Statements in flight never exceed the limit."""
 
     def test_limit_holds_under_many_callers(self) -> None:
         queue = AdmissionQueue(ManualClock(), 3, 3, 1000)
-        self.assertEqual(self.most_in_flight(queue), 3)
+        self.assertEqual(self.peak_in_flight(queue), 3)
 
-    def most_in_flight(self, queue: AdmissionQueue) -> int:
+    def peak_in_flight(self, queue: AdmissionQueue) -> int:
         lock = threading.Lock()
-        running = most = 0
+        running = peak = 0
         barrier = threading.Barrier(3, timeout=10)
 
         def caller() -> None:
-            nonlocal running, most
+            nonlocal running, peak
             admission = queue.admit(1000, Priority.READ).ok
             with lock:
                 running += 1
-                most = max(most, running)
+                peak = max(peak, running)
             barrier.wait()
             with lock:
                 running -= 1
@@ -172,46 +176,46 @@
         with ThreadPoolExecutor(12) as executor:
             for future in [executor.submit(caller) for _ in range(60)]:
                 future.result(20)
-        return most
+        return peak
 
 
 class UrgentTests(unittest.TestCase):
-    """A process may have one place before a server, which is taken nearly always."""
+    """An urgent statement is admitted above a limit of one that is in use."""
 
     def setUp(self) -> None:
         clock = ManualClock()
         self.queue = StatementQueue(clock, slots=1, max_in_flight=8, queue_limit=4)
 
-    def arrive(self, priority: Priority) -> Ticket:
-        """Let a statement arrive that has time."""
-        arrived = self.queue.request_admission(1_000.0, priority, lambda: None)
-        assert arrived.is_ok()
-        return arrived.ok
-
-    def test_an_urgent_statement_does_not_wait_for_one_that_is_not(self) -> None:
-        """Guard against an urgent class that is refused for a place of others."""
-        self.arrive(Priority.READ)
-        self.assertIs(self.arrive(Priority.READ).state, TicketState.WAITING)
-        self.assertIs(self.arrive(Priority.WRITE).state, TicketState.ADMITTED)
-
-    def test_urgent_statements_keep_to_the_limit_and_one_more(self) -> None:
-        self.arrive(Priority.READ)
-        self.arrive(Priority.READ_PRIMARY)
-        self.assertIs(self.arrive(Priority.READ_PRIMARY).state, TicketState.WAITING)
-        self.assertIs(self.arrive(Priority.WRITE).state, TicketState.WAITING)
+    def request(self, priority: Priority) -> Ticket:
+        """Request admission for a statement with a distant deadline."""
+        requested = self.queue.request_admission(1_000.0, priority, lambda: None)
+        assert requested.is_ok()
+        return requested.ok
+
+    def test_an_urgent_statement_does_not_wait_for_a_less_urgent_one(self) -> None:
+        """Guard against urgent statements refused because of less urgent ones."""
+        self.request(Priority.READ)
+        self.assertIs(self.request(Priority.READ).state, TicketState.WAITING)
+        self.assertIs(self.request(Priority.WRITE).state, TicketState.ADMITTED)
+
+    def test_urgent_statements_exceed_the_limit_by_one_at_most(self) -> None:
+        self.request(Priority.READ)
+        self.request(Priority.READ_PRIMARY)
+        self.assertIs(self.request(Priority.READ_PRIMARY).state, TicketState.WAITING)
+        self.assertIs(self.request(Priority.WRITE).state, TicketState.WAITING)
         self.assertEqual(self.queue.in_flight, 2)
 
-    def test_the_place_above_the_limit_is_not_passed_on_to_others(self) -> None:
-        read = self.arrive(Priority.READ)
-        write = self.arrive(Priority.WRITE)
-        waiting = self.arrive(Priority.READ)
+    def test_the_admission_above_the_limit_is_not_given_to_others(self) -> None:
+        read = self.request(Priority.READ)
+        write = self.request(Priority.WRITE)
+        waiting = self.request(Priority.READ)
         self.queue.end(read, 0.01, AdmissionOutcome.ANSWERED)
         self.assertIs(waiting.state, TicketState.WAITING)
         self.queue.end(write, 0.01, AdmissionOutcome.ANSWERED)
         self.assertIs(waiting.state, TicketState.ADMITTED)
 
     def test_no_more_are_in_flight_than_there_are_connections(self) -> None:
-        """Guard against waits for a connection, which nobody estimates."""
+        """Guard against waits for a connection, which no estimate includes."""
         self.queue.set_max_in_flight(1)
-        self.arrive(Priority.READ)
-        self.assertIs(self.arrive(Priority.WRITE).state, TicketState.WAITING)
+        self.request(Priority.READ)
+        self.assertIs(self.request(Priority.WRITE).state, TicketState.WAITING)
--- a/tests/limits/test_concurrency.py
+++ b/tests/limits/test_concurrency.py
@@ -7,7 +7,7 @@
 
 
 class ServerModel:
-    """A server whose statements wait when there are more than its slots."""
+    """A server on which statements beyond its slots wait."""
 
     def __init__(self, slots: float) -> None:
         self.slots = slots
@@ -17,7 +17,7 @@
 
 
 class AdaptiveConcurrencyTests(unittest.TestCase):
-    """The limit finds what the server runs without waiting inside it."""
+    """The limit converges to what the server runs without queueing."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -29,7 +29,7 @@
         for _ in range(windows * 20):
             in_flight = concurrency.limit
             self.clock.advance(model.latency(in_flight) / in_flight)
-            concurrency.note_answer(model.latency(in_flight), in_flight)
+            concurrency.record_answer(model.latency(in_flight), in_flight)
             limits.append(concurrency.limit)
         return limits
 
@@ -52,7 +52,7 @@
         concurrency = AdaptiveConcurrency(self.clock, 3, 2)
         self.assertEqual(concurrency.limit, 2)
         for _ in range(1000):
-            concurrency.note_unanswered()
+            concurrency.record_unanswered()
         self.assertEqual(concurrency.limit, 1)
         concurrency.set_ceiling(0)
         self.assertEqual(concurrency.limit, 1)
@@ -60,12 +60,12 @@
     def test_statements_lost_together_lower_the_limit_once(self) -> None:
         concurrency = AdaptiveConcurrency(self.clock, 10, 20)
         for _ in range(10):
-            concurrency.note_unanswered()
+            concurrency.record_unanswered()
         self.assertEqual(concurrency.limit, 8)
 
 
 class RetryBudgetTests(unittest.TestCase):
-    """Retries stay a small share of what is served."""
+    """Retries stay a small fraction of the statements served."""
 
     def spend_all(self, budget: RetryBudget) -> int:
         count = 0
@@ -73,7 +73,7 @@
             count += 1
         return count
 
-    def test_retries_are_a_share_of_statements_served(self) -> None:
+    def test_retries_are_a_fraction_of_statements_served(self) -> None:
         budget = RetryBudget(ManualClock(), 0.1, 0)
         self.assertEqual(self.spend_all(budget), 10)
         for _ in range(55):
--- a/tests/limits/test_replayed_load.py
+++ b/tests/limits/test_replayed_load.py
@@ -1,4 +1,4 @@
-"""Replay the loads that admission is made for, against baselines without it."""
+"""Replay overloads with admission control and with baselines without it."""
 
 import unittest
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 from dogwoodspool_limits import RetrySchedule
 
 from .replay import (
-    PATIENCE_SECONDS,
+    CALLER_TIMEOUT_SECONDS,
     Outcomes,
     Phase,
     Proxy,
@@ -21,8 +21,8 @@
 SEEDS = range(3)
 
 
-def returning_together(simulation: Simulation) -> Proxy:
-    """Build the queue with one time of return for all who are refused."""
+def with_simultaneous_retries(simulation: Simulation) -> Proxy:
+    """Build the queue with the same retry time for all refused callers."""
     return Queued(simulation, RetrySchedule(horizon=0.0))
 
 
@@ -37,13 +37,14 @@
 
 
 class OverloadTests(ReplayTestCase):
-    """Callers of all proxies send more than the server can do, for ten seconds.
+    """Guard against a collapse of useful work under a ten-second overload.
 
-    Without a bound every request waits behind all before it, so that soon each answer
-    comes after its caller has gone: the server is busy and nobody is served.
+    Callers of all proxies send more than the server can run. Without a bound every
+    request waits behind all earlier ones, so that soon each answer comes after its
+    caller has timed out: the server is busy and no caller is served.
     """
 
-    def test_work_done_in_time_does_not_fall_under_overload(self) -> None:
+    def test_answers_in_time_do_not_fall_under_overload(self) -> None:
         at_capacity = self.play(Queued, Phase(10, 1.0)).in_time
         for times in (2.0, 3.0):
             with self.subTest(times=times):
@@ -51,7 +52,7 @@
                 self.assertGreater(outcomes.in_time, at_capacity)
                 self.assertEqual(outcomes.late, 0)
 
-    def test_unbounded_work_is_answered_too_late(self) -> None:
+    def test_unbounded_proxies_answer_too_late(self) -> None:
         queued = self.play(Queued, Phase(10, 3.0))
         unbounded = self.play(Unbounded, Phase(10, 3.0))
         self.assertGreater(queued.in_time, 5 * unbounded.in_time)
@@ -68,10 +69,11 @@
 
 
 class ShiftTests(ReplayTestCase):
-    """All callers come to one of eight proxies, for instance after a balancer's change.
+    """Guard against refusals while the server has idle slots.
 
-    With a fixed part of the server for each proxy, that one queues and refuses while
-    the parts of the others are idle.
+    All callers use one of eight proxies, for example after a load balancer change.
+    With a fixed part of the server for each proxy, that proxy queues and refuses
+    while the parts of the others are idle.
     """
 
     load = (Phase(3, 0.8), Phase(5, 0.8, busy_proxies=1), Phase(2, 0.8))
@@ -82,46 +84,47 @@
 
 
 class BurstTests(ReplayTestCase):
-    """Half a second at three times the capacity amid a light load.
+    """Guard against retries that fail together after a burst.
 
-    Told one and the same time, the refused callers return together, find the queue full
-    again and give up, although the server is idle soon after.
+    For half a second a light load rises to three times the capacity. Refused callers
+    that are all given the same delay retry together, find the queue full again and
+    give up, although the server is idle soon after.
     """
 
     load = (Phase(3, 0.6), Phase(0.5, 3.0), Phase(3, 0.6))
 
-    def test_turns_to_return_get_more_callers_served(self) -> None:
-        in_turn = self.play(Queued, *self.load)
-        together = self.play(returning_together, *self.load)
-        self.assertLess(in_turn.refused, 0.85 * together.refused)
-        self.assertEqual(in_turn.late, 0)
+    def test_spread_retries_get_more_callers_served(self) -> None:
+        spread = self.play(Queued, *self.load)
+        together = self.play(with_simultaneous_retries, *self.load)
+        self.assertLess(spread.refused, 0.85 * together.refused)
+        self.assertEqual(spread.late, 0)
 
-    def test_the_gain_holds_under_a_lasting_overload(self) -> None:
+    def test_spread_retries_help_under_a_lasting_overload(self) -> None:
         for times in (2.0, 3.0):
             with self.subTest(times=times):
-                in_turn = self.play(Queued, Phase(10, times))
-                together = self.play(returning_together, Phase(10, times))
-                self.assertGreater(in_turn.in_time, together.in_time)
+                spread = self.play(Queued, Phase(10, times))
+                together = self.play(with_simultaneous_retries, Phase(10, times))
+                self.assertGreater(spread.in_time, together.in_time)
 
 
-class ReturnScheduleTests(unittest.TestCase):
-    """Turns to return lie apart, in order and within the horizon."""
+class RetryScheduleTests(unittest.TestCase):
+    """Retries are spaced, in order and within the horizon."""
 
-    def test_turns_lie_apart_by_one_statement(self) -> None:
+    def test_retries_are_spaced_by_one_statement(self) -> None:
         schedule = RetrySchedule(horizon=1.0)
-        turns = [schedule.schedule_retry(10.0, 0.02, 0.25) for _ in range(3)]
-        self.assertEqual([round(turn, 6) for turn in turns], [0.02, 0.27, 0.52])
+        delays = [schedule.schedule_retry(10.0, 0.02, 0.25) for _ in range(3)]
+        self.assertEqual([round(delay, 6) for delay in delays], [0.02, 0.27, 0.52])
 
-    def test_turns_stay_within_the_horizon(self) -> None:
-        schedule = RetrySchedule(horizon=PATIENCE_SECONDS)
-        turns = [schedule.schedule_retry(10.0, 0.0, 0.3) for _ in range(10)]
-        self.assertEqual(max(turns), PATIENCE_SECONDS)
+    def test_retries_stay_within_the_horizon(self) -> None:
+        schedule = RetrySchedule(horizon=CALLER_TIMEOUT_SECONDS)
+        delays = [schedule.schedule_retry(10.0, 0.0, 0.3) for _ in range(10)]
+        self.assertEqual(max(delays), CALLER_TIMEOUT_SECONDS)
 
-    def test_a_queue_beyond_the_horizon_is_told_as_it_is(self) -> None:
+    def test_a_wait_beyond_the_horizon_is_not_shortened(self) -> None:
         schedule = RetrySchedule(horizon=0.25)
         self.assertAlmostEqual(schedule.schedule_retry(10.0, 2.0, 0.01), 2.0)
 
-    def test_old_turns_are_forgotten(self) -> None:
+    def test_past_retries_do_not_delay_new_ones(self) -> None:
         schedule = RetrySchedule(horizon=1.0)
         for _ in range(10):
             schedule.schedule_retry(10.0, 0.0, 0.1)
