--- a/packages/pooler/src/dogwoodspool_pooler/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/access.py
@@ -200,7 +200,7 @@
         """Note that no connection came up, which counts against the server."""
         if error.suggests_unreachable:
             is_down = isinstance(error, ServerDownError)
-            self._table.note_failure(server.name, is_down=is_down)
+            self._table.record_failure(server.name, is_down=is_down)
         self.note_trouble(server, error)
 
     def note_trouble(self, server: BackendServer, error: BackendError) -> None:
--- a/packages/pooler/src/dogwoodspool_pooler/recovery.py
+++ b/packages/pooler/src/dogwoodspool_pooler/recovery.py
@@ -73,15 +73,15 @@
             connection = pool.acquire(deadline, is_probe=True)
         except BackendError as error:
             if error.is_sign_of_life:
-                self._table.note_reachable(server.name)
+                self._table.record_reachable(server.name)
                 return True
             if not error.suggests_unreachable:
                 return False
             is_down = isinstance(error, ServerDownError)
-            self._table.note_failure(server.name, is_down=is_down)
+            self._table.record_failure(server.name, is_down=is_down)
             log_event("server_unreachable", server=server.name, reason=error)
             return False
         pool.release(connection, reuse=True)
-        self._table.note_reachable(server.name)
+        self._table.record_reachable(server.name)
         log_event("server_reachable", server=server.name)
         return True
--- a/packages/proxy/src/dogwoodspool_proxy/acks.py
+++ b/packages/proxy/src/dogwoodspool_proxy/acks.py
@@ -168,7 +168,7 @@
             target, ACK_WAIT_SLICE_SECONDS, ACK_WAIT_SLICE_SECONDS + answer_timeout
         )
         # The writer's next read finds here that this replica has the write.
-        self._table.note_status(status, asked_at)
+        self._table.record_status(status, asked_at)
         with self._changed:
             self._confirmed = status.position
             self._changed.notify_all()
--- a/packages/proxy/src/dogwoodspool_proxy/backends.py
+++ b/packages/proxy/src/dogwoodspool_proxy/backends.py
@@ -145,7 +145,7 @@
         log_event("backend_failed", level="DEBUG", server=server.name, error=error)
         if isinstance(error, ConnectFailedError) and error.suggests_unreachable:
             is_down = isinstance(error, ServerDownError)
-            self._table.note_failure(server.name, is_down=is_down)
+            self._table.record_failure(server.name, is_down=is_down)
         self._probe_now(server.name)
 
     def _build(self, server: BackendServer) -> Backend:
--- a/packages/proxy/src/dogwoodspool_proxy/endpoints.py
+++ b/packages/proxy/src/dogwoodspool_proxy/endpoints.py
@@ -69,7 +69,7 @@
             detail = f"this instance is in {self._failure_domain}"
             return error_response(421, "other_failure_domain", detail)
         known = self._table.get(announcement.server)
-        self._table.announce(announcement)
+        self._table.record_announcement(announcement)
         if known is None or known.server != announcement.backend_server():
             self._renew_now()
         return JsonResponse()
--- a/packages/proxy/src/dogwoodspool_proxy/probes.py
+++ b/packages/proxy/src/dogwoodspool_proxy/probes.py
@@ -41,14 +41,14 @@
         except BackendError as error:
             if error.is_sign_of_life:
                 # Full, or misled by its settings, but no failed server.
-                self._table.note_reachable(self._server.name)
+                self._table.record_reachable(self._server.name)
             if not error.suggests_unreachable:
                 return interval
             is_down = isinstance(error, ServerDownError)
-            self._table.note_failure(self._server.name, is_down=is_down)
+            self._table.record_failure(self._server.name, is_down=is_down)
             self._note(is_reachable=False)
             return min(interval, FAILING_PROBE_SECONDS)
-        self._table.note_status(status, asked_at)
+        self._table.record_status(status, asked_at)
         self._note(is_reachable=True)
         return interval
 
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -249,7 +249,7 @@
     def _is_satisfied(
         self, status: ServerStatus, need: ReadNeed, state: GroupState, asked_at: float
     ) -> bool:
-        self._table.note_status(status, asked_at)
+        self._table.record_status(status, asked_at)
         unconfirmed = self._grants.unconfirmed_seconds(state.name, state.term)
         elapsed = self._clock.now() - asked_at + unconfirmed
         return satisfies(status, need, state, elapsed * MILLISECONDS)
--- a/packages/proxy/src/dogwoodspool_proxy/routers.py
+++ b/packages/proxy/src/dogwoodspool_proxy/routers.py
@@ -23,6 +23,6 @@
             if router is None:
                 router = ReadRouter(self._table, wanted)
             elif settings != wanted:
-                router.change(wanted)
+                router.update_settings(wanted)
             self._routers[group] = wanted, router
             return router
--- a/packages/routing/src/dogwoodspool_routing/read_router.py
+++ b/packages/routing/src/dogwoodspool_routing/read_router.py
@@ -93,7 +93,7 @@
         self._settings = settings
         self._random = random_source or random.Random()
 
-    def change(self, settings: RouterSettings) -> None:
+    def update_settings(self, settings: RouterSettings) -> None:
         """Put other settings in force."""
         self._settings = settings
 
--- a/packages/routing/src/dogwoodspool_routing/server_record.py
+++ b/packages/routing/src/dogwoodspool_routing/server_record.py
@@ -58,7 +58,7 @@
         described = (self.committed, self.announced, self.status)
         return any(one is not None and one.is_leaving for one in described)
 
-    def note_description(self, now: float) -> None:
+    def record_description(self, now: float) -> None:
         """Note that a description or the status has changed."""
         if not self.is_leaving:
             self.leaving_since = None
@@ -83,7 +83,7 @@
             return 0.0
         return self._down + self._step(now)
 
-    def note_answer(self, at: float) -> None:
+    def record_answer(self, at: float) -> None:
         """Note that the server gave an answer."""
         self.is_failing = False
         self._down = None
@@ -91,7 +91,7 @@
         self._outcome_at = at
         self.answered_at = at
 
-    def note_failure(self, at: float, *, is_down: bool) -> None:
+    def record_failure(self, at: float, *, is_down: bool) -> None:
         """Note that an attempt to reach the server failed.
 
         Args:
@@ -108,7 +108,7 @@
         self.is_failing = True
         self._outcome_at = at
 
-    def note_latency(self, latency: float, now: float) -> None:
+    def record_latency(self, latency: float, now: float) -> None:
         """Take a statement's latency into the moving average."""
         average = self.latency(now)
         self._latency = average + LATENCY_WEIGHT * (latency - average)
--- a/packages/routing/src/dogwoodspool_routing/server_table.py
+++ b/packages/routing/src/dogwoodspool_routing/server_table.py
@@ -95,19 +95,19 @@
             for name, record in self._records.items():
                 if name not in committed:
                     record.committed = None
-                record.note_description(self._clock.now())
+                record.record_description(self._clock.now())
             self._drop_expired()
 
-    def announce(self, announcement: Announcement) -> None:
+    def record_announcement(self, announcement: Announcement) -> None:
         """Take in an announcement of a server of the own failure domain."""
         with self._lock:
             record = self._record(announcement.server)
             record.announced = announcement.backend_server()
             record.announced_at = self._clock.now()
-            record.note_description(self._clock.now())
+            record.record_description(self._clock.now())
             self._announcements[announcement.server] = announcement
 
-    def note_status(self, status: ServerStatus, asked_at: float) -> None:
+    def record_status(self, status: ServerStatus, asked_at: float) -> None:
         """Take in a status.
 
         Args:
@@ -119,13 +119,13 @@
             record = self._records.get(status.server)
             if record is None:
                 return
-            record.note_answer(self._clock.now())
+            record.record_answer(self._clock.now())
             # Answers of two connections may arrive in the other order.
             if record.status is None or asked_at >= record.asked_at:
                 record.status, record.asked_at = status, asked_at
-                record.note_description(self._clock.now())
+                record.record_description(self._clock.now())
 
-    def note_failure(self, name: str, *, is_down: bool = False) -> None:
+    def record_failure(self, name: str, *, is_down: bool = False) -> None:
         """Note that a server could not be reached; a full pool is no failure.
 
         Args:
@@ -134,13 +134,13 @@
         """
         with self._lock:
             if name in self._records:
-                self._records[name].note_failure(self._clock.now(), is_down=is_down)
+                self._records[name].record_failure(self._clock.now(), is_down=is_down)
 
-    def note_reachable(self, name: str) -> None:
+    def record_reachable(self, name: str) -> None:
         """Note that a server answered, be it with an error."""
         with self._lock:
             if name in self._records:
-                self._records[name].note_answer(self._clock.now())
+                self._records[name].record_answer(self._clock.now())
 
     def begin(self, name: str) -> None:
         """Note that a statement goes to a server."""
@@ -162,9 +162,9 @@
                 return
             record.in_flight = max(0, record.in_flight - 1)
             if is_answered:
-                record.note_answer(self._clock.now())
+                record.record_answer(self._clock.now())
                 if latency is not None:
-                    record.note_latency(latency, self._clock.now())
+                    record.record_latency(latency, self._clock.now())
 
     def _record(self, name: str) -> ServerRecord:
         if name not in self._records:
--- a/tests/pooler/test_recovery.py
+++ b/tests/pooler/test_recovery.py
@@ -32,7 +32,7 @@
         )
 
     def note_failure(self) -> None:
-        self.table.note_failure("s1")
+        self.table.record_failure("s1")
         self.prober.suspect("s1")
 
     def is_failing(self) -> bool:
@@ -68,7 +68,7 @@
         self.note_failure()
         prober.step()
         # Noted late, as by a thread that waited for its turn meanwhile.
-        self.table.note_failure("s1")
+        self.table.record_failure("s1")
         prober.step()
         self.assertFalse(self.is_failing())
 
--- a/tests/pooler/test_writes.py
+++ b/tests/pooler/test_writes.py
@@ -263,7 +263,7 @@
         server.is_down = True
         say(self.pooler.session(), "WRITE k v")
         self.assertEqual(self.pooler.known.lost_groups(), 1)
-        self.pooler.table.note_reachable("s1")
+        self.pooler.table.record_reachable("s1")
         self.assertEqual(self.pooler.known.lost_groups(), 0)
 
     def test_a_primary_that_was_replaced_elsewhere_is_lost(self) -> None:
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -54,5 +54,5 @@
     table = ServerTable(clock)
     table.adopt_committed([server("a1"), server("b1"), server("c1")])
     for one in statuses:
-        table.note_status(one, clock.now())
+        table.record_status(one, clock.now())
     return table
--- a/tests/routing/test_read_router.py
+++ b/tests/routing/test_read_router.py
@@ -84,7 +84,7 @@
 
     def test_replica_far_behind_is_the_hope_without_a_primary(self) -> None:
         self.fill(status("b1", 18, lag_ms=500), status("c1", 19, lag_ms=500))
-        self.table.note_failure("a1")
+        self.table.record_failure("a1")
         self.assertEqual(self.choose(ReadNeed(Position(2, 20))), ("c1", True))
         need = ReadNeed(Position(2, 20))
         exclude = {"b1", "c1"}
@@ -147,7 +147,7 @@
 
     def test_leaving_replica_gets_none_from_the_first_sign(self) -> None:
         self.fill(status("b1", 20), status("c1", 20))
-        self.table.announce(announcement("b1", is_leaving=True))
+        self.table.record_announcement(announcement("b1", is_leaving=True))
         self.assertEqual(self.choose(ReadNeed()), ("c1", False))
 
     def test_leaving_primary_gets_none_after_a_short_while(self) -> None:
--- a/tests/routing/test_server_table.py
+++ b/tests/routing/test_server_table.py
@@ -25,14 +25,14 @@
     """Servers come from control's view and from announcements."""
 
     def test_announced_server_is_known_until_it_is_silent(self) -> None:
-        self.table.announce(announcement("b2"))
+        self.table.record_announcement(announcement("b2"))
         self.assertEqual(len(self.table.servers("orders")), 4)
         self.clock.advance(5.1)
         self.assertEqual(len(self.table.servers("orders")), 3)
         self.assertEqual(self.table.announcements(), [])
 
     def test_announcement_moves_a_server_before_control_does(self) -> None:
-        self.table.announce(announcement("b1"))
+        self.table.record_announcement(announcement("b1"))
         self.assertEqual(self.view("b1").server.address.port, 7001)
 
     def test_server_that_control_dropped_is_gone(self) -> None:
@@ -41,9 +41,9 @@
         self.table.end("b1", 0.1, is_answered=True)
 
     def test_server_that_stays_after_all_gets_work_again(self) -> None:
-        self.table.note_status(status("b1", 5, is_leaving=True), 0)
+        self.table.record_status(status("b1", 5, is_leaving=True), 0)
         self.assertFalse(self.view("b1").takes_replica_work)
-        self.table.note_status(status("b1", 5), 0)
+        self.table.record_status(status("b1", 5), 0)
         self.assertTrue(self.view("b1").takes_replica_work)
 
 
@@ -52,12 +52,12 @@
 
     def test_elapsed_time_counts_from_the_question(self) -> None:
         self.clock.advance(1.0)
-        self.table.note_status(status("b1", 5), asked_at=0.75)
+        self.table.record_status(status("b1", 5), asked_at=0.75)
         self.assertEqual(self.view("b1").elapsed_ms, 250)
 
     def test_late_answer_does_not_replace_a_newer_one(self) -> None:
-        self.table.note_status(status("b1", 9), asked_at=0.5)
-        self.table.note_status(status("b1", 5), asked_at=0.4)
+        self.table.record_status(status("b1", 9), asked_at=0.5)
+        self.table.record_status(status("b1", 5), asked_at=0.4)
         known = self.view("b1").status
         assert known is not None
         self.assertEqual(known.position, Position(2, 9))
@@ -75,28 +75,28 @@
         return seen.unreachable_ms
 
     def test_time_counts_from_the_last_answer(self) -> None:
-        self.table.note_status(status("b1", 5), asked_at=0)
+        self.table.record_status(status("b1", 5), asked_at=0)
         self.clock.advance(0.25)
         self.assertEqual(self.unreachable_ms(), 0)
-        self.table.note_failure("b1")
+        self.table.record_failure("b1")
         self.clock.advance(0.25)
-        self.table.note_failure("b1")
+        self.table.record_failure("b1")
         self.clock.advance(0.1)
         self.assertEqual(self.unreachable_ms(), 600)
-        self.table.note_status(status("b1", 5), asked_at=0.6)
+        self.table.record_status(status("b1", 5), asked_at=0.6)
         self.assertEqual(self.unreachable_ms(), 0)
 
     def test_answer_with_an_error_is_an_answer(self) -> None:
-        self.table.note_status(status("b1", 5), asked_at=0)
+        self.table.record_status(status("b1", 5), asked_at=0)
         self.clock.advance(0.5)
-        self.table.note_failure("b1")
-        self.table.note_reachable("b1")
+        self.table.record_failure("b1")
+        self.table.record_reachable("b1")
         self.assertEqual(self.unreachable_ms(), 0)
 
     def test_frozen_observer_counts_one_bounded_step(self) -> None:
-        self.table.note_status(status("b1", 5), asked_at=0)
+        self.table.record_status(status("b1", 5), asked_at=0)
         self.clock.advance(60)
-        self.table.note_failure("b1")
+        self.table.record_failure("b1")
         self.assertLessEqual(self.unreachable_ms(), 1000)
 
     def test_frozen_table_of_one_server_reports_no_others(self) -> None:
