--- a/packages/routing/src/dogwoodspool_routing/__init__.py
+++ b/packages/routing/src/dogwoodspool_routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose the backend server of a statement."""
+"""Choose the backend server for a statement."""
 
 from .eligibility import may_satisfy, satisfies
 from .models import (
--- a/packages/routing/src/dogwoodspool_routing/eligibility.py
+++ b/packages/routing/src/dogwoodspool_routing/eligibility.py
@@ -1,4 +1,4 @@
-"""Decide whether a backend server's data satisfies a read."""
+"""Decide whether the data of a backend server satisfies a read."""
 
 from collections.abc import Sequence
 
@@ -11,13 +11,13 @@
 def satisfies(
     status: ServerStatus, need: ReadNeed, group: GroupState, elapsed_ms: float
 ) -> bool:
-    """Tell whether a server surely satisfies a read.
+    """Return whether a server is known to satisfy a read.
 
     Args:
-        status: what the server said of itself.
-        need: what the read must reflect; ``needs_primary`` is the router's.
+        status: the status that the server reported.
+        need: what the read must reflect; ``needs_primary`` is left to the router.
         group: the group's committed state.
-        elapsed_ms: time since the status was asked for.
+        elapsed_ms: time since the status was requested.
     """
     return _is_on_history(status.position, group) and _is_fresh(
         status, need, elapsed_ms, group.term_starts
@@ -25,7 +25,7 @@
 
 
 def may_satisfy(status: ServerStatus, need: ReadNeed, group: GroupState) -> bool:
-    """Tell whether a newer status of the server could satisfy a read."""
+    """Return whether a newer status of the server could satisfy a read."""
     return _is_on_history(status.position, group) and (
         need.max_age_ms is None
         or (status.lag_ms is not None and status.lag_ms <= need.max_age_ms)
@@ -33,12 +33,13 @@
 
 
 def _is_on_history(position: Position, group: GroupState) -> bool:
-    """Tell whether a server follows the lineage of the group's present term.
+    """Return whether a server's log belongs to the history of the group's term.
 
-    A server of a term that has been branched from may hold entries past the branch,
-    which the group has lost, and its lag counts from a replaced primary. During a
-    promotion the new term has no start yet, and the servers of the term before
-    are current. Of a term newer than the committed one nothing is known here.
+    A server of an older term from which a newer one has branched may hold entries
+    past the branch, which the group has lost, and its lag is measured against a
+    replaced primary. During a promotion the new term has no start yet, and servers of
+    the previous term are current. Nothing is known here about a term newer than the
+    committed one.
     """
     if position.term > group.term:
         return False
@@ -59,5 +60,5 @@
         return False
     if need.position is not None:
         return is_covered(need.position, status.position, term_starts)
-    # A replica that has never caught up may be empty: its data has no age.
+    # A replica that has never caught up may be empty, so its data has no known age.
     return status.lag_ms is not None
--- a/packages/routing/src/dogwoodspool_routing/models.py
+++ b/packages/routing/src/dogwoodspool_routing/models.py
@@ -10,17 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """What this process knows of one backend server at one moment.
+    """Snapshot of what this process knows about one backend server.
 
     Attributes:
-        server: name, place, address and size.
-        status: what it last said of itself, None before the first answer.
-        elapsed_ms: time since that status was *asked* for: the position is a lower
+        server: name, failure domain, address and capacity.
+        status: the last status it reported; None before the first answer.
+        elapsed_ms: time since that status was *requested*: the position is a lower
             bound from then on, the data at most ``lag_ms + elapsed_ms`` old.
-        leaving_for: seconds since its leaving was first known, None if it stays.
-        is_failing: the last attempt to reach it failed.
+        leaving_for: seconds since it first became known that the server is leaving;
+            None if it is not.
+        is_failing: whether the last attempt to reach it failed.
         latency: moving average of a statement's seconds.
-        in_flight: this process's statements on it.
+        in_flight: number of this process's statements on it.
     """
 
     server: BackendServer
@@ -38,19 +39,19 @@
 
     @property
     def takes_replica_work(self) -> bool:
-        """Tell whether it may get new work as a replica."""
+        """Return whether it may get new statements as a replica."""
         return not self.is_failing and self.leaving_for is None
 
     @property
     def takes_primary_work(self) -> bool:
-        """Tell whether it may get new work as its group's primary."""
+        """Return whether it may get new statements as its group's primary."""
         if self.is_failing:
             return False
         return self.leaving_for is None or self.leaving_for < LEAVING_PRIMARY_GRACE
 
     @property
     def estimated_time(self) -> float:
-        """Seconds that one more statement would take."""
+        """Estimated seconds that one more statement would take."""
         return self.latency * (1 + self.in_flight / self.server.slots)
 
 
@@ -59,9 +60,10 @@
     """What a read's answer must reflect.
 
     Attributes:
-        position: the session's writes; None when it has none in the group.
-        needs_primary: the session's earlier writes are not known.
-        max_age_ms: greatest age of the data; None when the position decides.
+        position: position of the session's writes; None if it has none in the group.
+        needs_primary: whether the read must go to the primary because the session's
+            earlier writes are not known.
+        max_age_ms: maximum age of the data; None when only the position counts.
     """
 
     position: Position | None = None
@@ -74,9 +76,9 @@
     """The backend server for one read.
 
     Attributes:
-        must_check_status: what is known of the server does not suffice. Ask for
-            its status on the read's connection, waiting for the position, and read
-            only if that satisfies the need.
+        must_check_status: whether the server's last known status does not satisfy the
+            read. Its status must then be requested on the read's connection, waiting
+            for the position, and the read run only if that status satisfies it.
     """
 
     server: BackendServer
@@ -94,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoServer:
-    """A read that no backend server can take; it did not run."""
+    """Report that no backend server can take a read; it did not run."""
 
     reason: NoServerReason
     retry_after_ms: int
@@ -105,8 +107,8 @@
     """Settings of the read router.
 
     Attributes:
-        replica_wait_ms: time that a read may wait for a replica to catch up
-            rather than go to the primary.
+        replica_wait_ms: time that a read may wait for a replica to catch up before
+            it goes to the primary instead.
     """
 
     replica_wait_ms: float
--- a/packages/routing/src/dogwoodspool_routing/read_router.py
+++ b/packages/routing/src/dogwoodspool_routing/read_router.py
@@ -1,4 +1,4 @@
-"""Choose the backend server of a read."""
+"""Choose the backend server for a read."""
 
 import random
 from collections.abc import Sequence, Set
@@ -10,7 +10,7 @@
 from expression import Error, Ok, Result
 
 from .const import (
-    FAR_PENALTY,
+    REMOTE_DOMAIN_PENALTY,
     RETRY_AFTER_PROBE_MS,
     RETRY_AFTER_PROMOTION_MS,
 )
@@ -24,11 +24,11 @@
     ServerView,
 )
 
-CHOICES: Final = 2
+RANDOM_CANDIDATES: Final = 2
 
 
 class KnownServers(Protocol):
-    """Give what is known of a group's servers."""
+    """Provide what is known of a group's servers."""
 
     def servers(self, group: str | None = None) -> list[ServerView]:
         """Return the servers of a group."""
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Read:
-    """One read with what it is judged by."""
+    """One read and the conditions that its server must meet."""
 
     group: GroupState
     need: ReadNeed
@@ -46,37 +46,38 @@
 
     @property
     def can_be_fresh(self) -> bool:
-        """Tell whether any server's data can be young enough."""
+        """Return whether any server's data can be recent enough."""
         max_age_ms = self.need.max_age_ms
         return max_age_ms is None or self.unconfirmed_ms <= max_age_ms
 
     def is_satisfied_by(self, view: ServerView) -> bool:
-        """Tell whether what is known of a server suffices."""
+        """Return whether a server's last known status satisfies the read."""
         elapsed_ms = view.elapsed_ms + self.unconfirmed_ms
         return view.status is not None and satisfies(
             view.status, self.need, self.group, elapsed_ms
         )
 
     def may_be_satisfied_by(self, view: ServerView) -> bool:
-        """Tell whether asking a server could help."""
+        """Return whether a newer status of a server could satisfy the read."""
         return view.status is not None and may_satisfy(
             view.status, self.need, self.group
         )
 
     def cost(self, view: ServerView) -> float:
-        """Return the seconds by which replicas are compared."""
-        is_near = view.server.failure_domain == self.own_failure_domain
-        return view.estimated_time + (0.0 if is_near else FAR_PENALTY)
+        """Return the cost in seconds by which replicas are compared."""
+        is_local = view.server.failure_domain == self.own_failure_domain
+        return view.estimated_time + (0.0 if is_local else REMOTE_DOMAIN_PENALTY)
 
 
 class ReadRouter:
-    """Send reads to replicas wherever their promises allow it.
+    """Route reads to replicas wherever their consistency guarantees allow it.
 
-    In this order: a replica whose last status already satisfies the read; a
-    replica that probably does by now, when asking it and waiting costs little more
-    than the primary would; the primary; any replica that may catch up. Between
-    replicas the one with the shorter estimated time of two random ones is taken,
-    and one of another failure domain must be better by its extra way.
+    Servers are preferred in this order: a replica whose last status already
+    satisfies the read; a replica that probably satisfies it by now, if querying and
+    waiting for it takes little longer than the primary would; the primary; any
+    replica that may catch up. Of several replicas, two are drawn at random and the
+    one with the lower estimated time is chosen. A replica of another failure domain
+    must be faster by its additional network latency.
 
     Args:
         random_source: for tests; each proxy needs a seed of its own, so that
@@ -94,7 +95,7 @@
         self._random = random_source or random.Random()
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Put other settings in force."""
+        """Use other settings from now on."""
         self._settings = settings
 
     def choose(
@@ -111,19 +112,20 @@
         Args:
             group: the group's committed state.
             need: what the answer must reflect.
-            exclude: servers that this read has tried in vain.
-            own_failure_domain: where this process runs.
-            unconfirmed_ms: time since control's word that the group's term is
-                current has run out, 0 while it holds. Since then a newer term may
-                have begun elsewhere: data here may be older than it seems by that
-                much, and a session whose writes are not known may have written there.
+            exclude: servers on which this read has already failed.
+            own_failure_domain: the failure domain of this process.
+            unconfirmed_ms: time since control's confirmation that the group's term is
+                current has expired, 0 while it is valid. Since then a newer term may
+                have begun elsewhere: data here may be older than its status says by
+                that much, and a session whose writes are not known may have written
+                in the newer term.
         """
         read = _Read(group, need, own_failure_domain, unconfirmed_ms)
         views = [
             view for view in self._table.servers(group.name) if view.name not in exclude
         ]
         primaries = [view for view in views if view.name == group.primary]
-        primary = next((one for one in primaries if one.takes_primary_work), None)
+        primary = next((view for view in primaries if view.takes_primary_work), None)
         if need.needs_primary:
             return _primary_only(read, primary)
         replicas = [
@@ -131,26 +133,27 @@
             for view in views
             if view.name != group.primary and view.takes_replica_work
         ]
-        known = [view for view in replicas if read.is_satisfied_by(view)]
-        if known:
-            return self._choose_replica(read, known, must_check_status=False)
+        satisfying = [view for view in replicas if read.is_satisfied_by(view)]
+        if satisfying:
+            return self._choose_replica(read, satisfying, must_check_status=False)
         if not read.can_be_fresh:
             reason = NoServerReason.TERM_UNCONFIRMED
             return Error(NoServer(reason, RETRY_AFTER_PROBE_MS))
-        return self._choose_unknown(read, primary, replicas)
+        return self._choose_unverified(read, primary, replicas)
 
-    def _choose_unknown(
+    def _choose_unverified(
         self, read: _Read, primary: ServerView | None, replicas: Sequence[ServerView]
     ) -> Result[ReadChoice, NoServer]:
-        """Weigh a replica that must be asked first against the primary."""
+        """Choose between the primary and replicas whose status must be checked."""
         candidates = [view for view in replicas if read.may_be_satisfied_by(view)]
-        likely = [view for view in candidates if self._is_worth_asking(view, primary)]
+        likely = [view for view in candidates if self._is_worth_checking(view, primary)]
         if likely:
             return self._choose_replica(read, likely, must_check_status=True)
         if primary is not None:
             return Ok(ReadChoice(primary.server, False, True))
         if candidates:
-            # Without a primary a replica far behind is still a hope.
+            # Without a primary, a replica that lags far behind may still catch up
+            # in time.
             furthest = [max(candidates, key=_progress)]
             return self._choose_replica(read, furthest, must_check_status=True)
         return Error(_no_server(read.group))
@@ -158,15 +161,16 @@
     def _choose_replica(
         self, read: _Read, views: Sequence[ServerView], *, must_check_status: bool
     ) -> Result[ReadChoice, NoServer]:
-        drawn = self._random.sample(list(views), min(CHOICES, len(views)))
+        drawn = self._random.sample(list(views), min(RANDOM_CANDIDATES, len(views)))
         chosen = min(drawn, key=read.cost)
         return Ok(ReadChoice(chosen.server, must_check_status, False))
 
-    def _is_worth_asking(self, view: ServerView, primary: ServerView | None) -> bool:
-        """Tell whether waiting for a replica is better than the primary.
+    def _is_worth_checking(self, view: ServerView, primary: ServerView | None) -> bool:
+        """Return whether to wait for a replica rather than use the primary.
 
-        The primary's slots are wanted by writes, so a replica may cost up to the
-        whole replica wait more; the busier the primary, the more.
+        Writes need the primary's slots, so a replica may take longer than the primary
+        by up to the whole replica wait. The busier the primary, the longer a replica
+        may take.
         """
         status = view.status
         if status is None or status.lag_ms is None:
--- a/packages/routing/src/dogwoodspool_routing/server_record.py
+++ b/packages/routing/src/dogwoodspool_routing/server_record.py
@@ -15,17 +15,18 @@
 
 @dataclass(slots=True)
 class ServerRecord:
-    """What is known of one backend server; the table's lock guards it.
+    """What is known of one backend server; guarded by the table's lock.
 
     Attributes:
-        committed: the server as control has committed it.
-        announced: the server as it announced itself here.
-        announced_at: when that announcement came.
+        committed: the server's description as committed by control.
+        announced: the description that the server announced to this proxy.
+        announced_at: when that announcement was received.
         status: the last status.
-        asked_at: when the last status was asked for.
-        is_failing: the last attempt to reach the server failed.
-        leaving_since: when its leaving was first known, None if it stays.
-        answered_at: when it last gave an answer.
+        asked_at: when the last status was requested.
+        is_failing: whether the last attempt to reach the server failed.
+        leaving_since: when it first became known that the server is leaving; None if
+            it is not.
+        answered_at: when it last answered.
     """
 
     known_at: float
@@ -46,45 +47,52 @@
 
     @property
     def server(self) -> BackendServer:
-        """The newest description: a server that restarted elsewhere says so first."""
+        """The newest description.
+
+        A server that restarts at another address announces it before control has
+        committed it, so the announcement takes precedence.
+        """
         newest = self.announced or self.committed
         if newest is None:
-            raise LookupError("the record has no description")
+            raise LookupError("server record is neither committed nor announced")
         return newest
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether any source says that the server leaves."""
-        described = (self.committed, self.announced, self.status)
-        return any(one is not None and one.is_leaving for one in described)
+        """Return whether any source reports that the server is leaving."""
+        sources = (self.committed, self.announced, self.status)
+        return any(source is not None and source.is_leaving for source in sources)
 
     def record_description(self, now: float) -> None:
-        """Note that a description or the status has changed."""
+        """Update the leaving time after a change of a description or the status."""
         if not self.is_leaving:
             self.leaving_since = None
         elif self.leaving_since is None:
             self.leaving_since = now
 
     def unreachable(self, now: float) -> float:
-        """Return seconds without a good answer, 0 while the server answers.
+        """Return the seconds without an answer, 0 while the server answers.
 
-        Only the time between outcomes of attempts counts, and each step only up to
-        a bound. A process that was frozen for a minute wakes up with attempts that
-        all timed out; without the bound it would report a minute of silence of
-        servers that it has not asked.
+        The time between the outcomes of two attempts counts only up to a bound. In a
+        process that was suspended for a minute all attempts have timed out when it
+        resumes; without the bound it would report servers as unreachable for a minute
+        in which it did not contact them.
         """
         if not self.is_failing:
             return 0.0
         return self._unreachable + self._step(now)
 
     def down(self, now: float) -> float:
-        """Return seconds for which every attempt was refused; bounded likewise."""
+        """Return the seconds for which the machine refused every connection.
+
+        The time between two attempts counts up to the same bound.
+        """
         if self._down is None:
             return 0.0
         return self._down + self._step(now)
 
     def record_answer(self, at: float) -> None:
-        """Note that the server gave an answer."""
+        """Record that the server answered."""
         self.is_failing = False
         self._down = None
         self._unreachable = 0.0
@@ -92,11 +100,11 @@
         self.answered_at = at
 
     def record_failure(self, at: float, *, is_down: bool) -> None:
-        """Note that an attempt to reach the server failed.
+        """Record that an attempt to reach the server failed.
 
         Args:
             at: clock seconds.
-            is_down: its machine refused the connection.
+            is_down: whether its machine refused the connection.
         """
         if not is_down:
             self._down = None
@@ -109,16 +117,16 @@
         self._outcome_at = at
 
     def record_latency(self, latency: float, now: float) -> None:
-        """Take a statement's latency into the moving average."""
+        """Add a statement's latency to the moving average."""
         average = self.latency(now)
         self._latency = average + LATENCY_WEIGHT * (latency - average)
         self._latency_at = now
 
     def latency(self, now: float) -> float:
-        """Return the moving average of latencies.
+        """Return the moving average of latencies in seconds.
 
-        Without new samples it returns to the default: a server that answered
-        slowly once would else get no statement that could show it is fast again.
+        Without new samples it decays to the default. Otherwise a server that was slow
+        once would get no statement that could show that it is fast again.
         """
         age = max(0.0, now - self._latency_at)
         weight = 0.5 ** (age / LATENCY_HALF_LIFE)
--- a/packages/routing/src/dogwoodspool_routing/server_table.py
+++ b/packages/routing/src/dogwoodspool_routing/server_table.py
@@ -13,12 +13,12 @@
 
 
 class ServerTable:
-    """All that one proxy knows of backend servers.
+    """State of all backend servers as known to one proxy.
 
-    It is written by those who follow control's view, receive announcements, probe
-    and run statements; every other object only reads it. It takes servers from
-    control's view and from announcements that are not older than the expiry, so
-    that a failure domain that is cut off from control still knows its own.
+    It is updated by the objects that follow control's view, receive announcements,
+    probe servers and run statements; all others only read it. Servers come from
+    control's view and from announcements that are not older than the expiry, so that
+    a failure domain that is disconnected from control still knows its own servers.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._announcements: dict[str, Announcement] = {}
 
     def servers(self, group: str | None = None) -> list[ServerView]:
-        """Return the servers of a group, or all, ordered by name."""
+        """Return the servers of a group, or all servers, ordered by name."""
         with self._lock:
             self._drop_expired()
             now = self._clock.now()
@@ -42,14 +42,14 @@
             ]
 
     def get(self, name: str) -> ServerView | None:
-        """Return one server, None when it is not known."""
+        """Return one server, or None if it is not known."""
         with self._lock:
             self._drop_expired()
             record = self._records.get(name)
             return None if record is None else self._view(record, self._clock.now())
 
     def answered_outside(self, failure_domain: str) -> float:
-        """Return when a server outside of a failure domain last gave an answer."""
+        """Return when a server outside a failure domain last answered."""
         with self._lock:
             return max(
                 (
@@ -61,7 +61,7 @@
             )
 
     def failing_groups(self) -> set[str]:
-        """Return the groups that have a server which could not be reached."""
+        """Return the groups of servers whose last attempt failed."""
         with self._lock:
             return {
                 record.server.group
@@ -70,7 +70,7 @@
             }
 
     def observations(self) -> list[Observation]:
-        """Return how this proxy sees the servers that it has tried to reach."""
+        """Return this proxy's observations of the servers it has tried to reach."""
         with self._lock:
             self._drop_expired()
             now = self._clock.now()
@@ -87,7 +87,7 @@
             return [self._announcements[name] for name in sorted(self._announcements)]
 
     def adopt_committed(self, servers: Iterable[BackendServer]) -> None:
-        """Take over the servers of control's newest view."""
+        """Replace the committed servers by those of control's newest view."""
         with self._lock:
             committed = {server.name: server for server in servers}
             for name, server in committed.items():
@@ -99,7 +99,7 @@
             self._drop_expired()
 
     def record_announcement(self, announcement: Announcement) -> None:
-        """Take in an announcement of a server of the own failure domain."""
+        """Record an announcement of a server of this proxy's failure domain."""
         with self._lock:
             record = self._record(announcement.server)
             record.announced = announcement.backend_server()
@@ -108,52 +108,53 @@
             self._announcements[announcement.server] = announcement
 
     def record_status(self, status: ServerStatus, asked_at: float) -> None:
-        """Take in a status.
+        """Record a server's status.
 
         Args:
-            status: what the server said of itself.
-            asked_at: clock seconds before the question was sent: the status may
-                have been read by the server at any moment after it.
+            status: the status that the server reported.
+            asked_at: clock seconds taken before the request was sent: the server may
+                have determined the status at any moment after it.
         """
         with self._lock:
             record = self._records.get(status.server)
             if record is None:
                 return
             record.record_answer(self._clock.now())
-            # Answers of two connections may arrive in the other order.
+            # Answers on two connections may arrive out of order.
             if record.status is None or asked_at >= record.asked_at:
                 record.status, record.asked_at = status, asked_at
                 record.record_description(self._clock.now())
 
     def record_failure(self, name: str, *, is_down: bool = False) -> None:
-        """Note that a server could not be reached; a full pool is no failure.
+        """Record that a server could not be reached; a full pool is no failure.
 
         Args:
             name: the server.
-            is_down: its machine refused the connection.
+            is_down: whether its machine refused the connection.
         """
         with self._lock:
             if name in self._records:
                 self._records[name].record_failure(self._clock.now(), is_down=is_down)
 
     def record_reachable(self, name: str) -> None:
-        """Note that a server answered, be it with an error."""
+        """Record that a server answered, whether with a result or with an error."""
         with self._lock:
             if name in self._records:
                 self._records[name].record_answer(self._clock.now())
 
     def begin(self, name: str) -> None:
-        """Note that a statement goes to a server."""
+        """Record that a statement is sent to a server."""
         with self._lock:
             if name in self._records:
                 self._records[name].in_flight += 1
 
     def end(self, name: str, latency: float | None, *, is_answered: bool) -> None:
-        """Note that a statement ended, after ``begin``.
+        """Record that a statement ended, after ``begin``.
 
         Args:
             name: the server.
-            latency: seconds that it worked; None where it did not, as when it refused.
+            latency: seconds that the server worked; None if it did no work, for
+                example when it refused the statement.
             is_answered: whether a complete answer came.
         """
         with self._lock:
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -50,9 +50,9 @@
 
 
 def table_of(clock: ManualClock, *statuses: ServerStatus) -> ServerTable:
-    """Return a table of a1, b1 and c1 with some statuses asked for just now."""
+    """Return a table of a1, b1 and c1 with statuses requested at the present time."""
     table = ServerTable(clock)
     table.adopt_committed([server("a1"), server("b1"), server("c1")])
-    for one in statuses:
-        table.record_status(one, clock.now())
+    for reported in statuses:
+        table.record_status(reported, clock.now())
     return table
--- a/tests/routing/test_read_router.py
+++ b/tests/routing/test_read_router.py
@@ -48,14 +48,14 @@
 
 
 class ReplicaTests(RouterTestCase):
-    """Replicas take what their data allows."""
+    """Replicas take the reads that their data satisfies."""
 
-    def test_near_replica_goes_first(self) -> None:
+    def test_replica_of_the_own_failure_domain_is_preferred(self) -> None:
         self.fill(status("b1", 20), status("c1", 20))
         self.assertEqual(self.choose(ReadNeed(Position(2, 20))), ("b1", False))
         self.assertEqual(self.choose(ReadNeed(), own="c"), ("c1", False))
 
-    def test_busy_near_replica_gives_way(self) -> None:
+    def test_remote_replica_is_chosen_when_the_local_one_is_busy(self) -> None:
         self.fill(status("b1", 20), status("c1", 20))
         for _ in range(3):
             self.table.begin("b1")
@@ -69,20 +69,20 @@
         self.clock.advance(20)
         self.assertEqual(self.choose(ReadNeed()), ("b1", False))
 
-    def test_replica_that_satisfies_goes_before_a_nearer_one(self) -> None:
+    def test_replica_that_satisfies_is_preferred_to_a_local_one(self) -> None:
         self.fill(status("b1", 19), status("c1", 20))
         self.assertEqual(self.choose(ReadNeed(Position(2, 20))), ("c1", False))
 
-    def test_replica_close_behind_is_asked_first(self) -> None:
+    def test_status_of_a_replica_close_behind_is_checked(self) -> None:
         self.fill(status("b1", 19, lag_ms=5), status("c1", 15, lag_ms=900))
         self.assertEqual(self.choose(ReadNeed(Position(2, 20))), ("b1", True))
 
-    def test_replicas_far_behind_leave_the_read_to_the_primary(self) -> None:
+    def test_primary_is_chosen_when_replicas_are_far_behind(self) -> None:
         self.fill(status("b1", 19, lag_ms=500), status("c1", 19, lag_ms=500))
         need = ReadNeed(Position(2, 20))
         self.assertEqual(self.choose(need), ("a1", False))
 
-    def test_replica_far_behind_is_the_hope_without_a_primary(self) -> None:
+    def test_replica_far_behind_is_checked_without_a_primary(self) -> None:
         self.fill(status("b1", 18, lag_ms=500), status("c1", 19, lag_ms=500))
         self.table.record_failure("a1")
         self.assertEqual(self.choose(ReadNeed(Position(2, 20))), ("c1", True))
@@ -91,7 +91,7 @@
         reason = self.refused(need, exclude=exclude)
         self.assertEqual(reason, NoServerReason.PRIMARY_UNREACHABLE)
 
-    def test_old_status_is_asked_again_for_a_stated_age(self) -> None:
+    def test_old_status_is_checked_again_for_a_maximum_age(self) -> None:
         self.fill(status("b1", 20, lag_ms=5))
         need = ReadNeed(max_age_ms=100)
         self.assertEqual(self.choose(need), ("b1", False))
@@ -107,7 +107,7 @@
         need = ReadNeed(needs_primary=True)
         self.assertEqual(self.choose(need), ("a1", False))
 
-    def test_promotion_without_a_primary_says_so(self) -> None:
+    def test_read_is_refused_without_a_primary_during_a_promotion(self) -> None:
         self.fill()
         promoting = GroupState("orders", 3, None, Phase.PROMOTING, ())
         choice = self.router.choose(
@@ -116,15 +116,16 @@
         self.assertEqual(choice.error.reason, NoServerReason.NO_PRIMARY)
 
 
-class CutOffTests(RouterTestCase):
-    """A failure domain is cut off together with a replaced primary.
+class DisconnectedTests(RouterTestCase):
+    """Reads in a failure domain that is disconnected from control.
 
-    A caller there reads an order that was changed elsewhere long ago, though the
-    replica says that it lags by nothing. Cause: the lag counts from the primary
-    that the replica follows, and that one has been replaced.
+    Guards against stale reads where a replaced primary was disconnected too. A
+    caller there would read data that was changed elsewhere long ago, although the
+    replica reports no lag: its lag is measured against the primary that it follows,
+    and that one has been replaced.
     """
 
-    def test_age_counts_from_the_last_word_of_control(self) -> None:
+    def test_age_counts_from_the_last_confirmation_by_control(self) -> None:
         self.fill(status("b1", 20))
         need = ReadNeed(max_age_ms=500)
         self.assertEqual(self.choose(need, unconfirmed_ms=400), ("b1", False))
@@ -136,21 +137,21 @@
         reason = self.refused(ReadNeed(needs_primary=True), unconfirmed_ms=1)
         self.assertEqual(reason, NoServerReason.TERM_UNCONFIRMED)
 
-    def test_known_session_goes_on(self) -> None:
+    def test_known_session_is_served(self) -> None:
         self.fill(status("b1", 20))
         need = ReadNeed(Position(2, 20))
         self.assertEqual(self.choose(need, unconfirmed_ms=10**6), ("b1", False))
 
 
 class LeavingTests(RouterTestCase):
-    """A server that is leaving gets no new work."""
+    """A server that is leaving gets no new statements."""
 
-    def test_leaving_replica_gets_none_from_the_first_sign(self) -> None:
+    def test_leaving_replica_gets_none_from_the_first_announcement(self) -> None:
         self.fill(status("b1", 20), status("c1", 20))
         self.table.record_announcement(announcement("b1", is_leaving=True))
         self.assertEqual(self.choose(ReadNeed()), ("c1", False))
 
-    def test_leaving_primary_gets_none_after_a_short_while(self) -> None:
+    def test_leaving_primary_gets_none_after_the_grace_period(self) -> None:
         self.fill(status("a1", 20, is_leaving=True))
         need = ReadNeed(needs_primary=True)
         self.assertEqual(self.choose(need), ("a1", False))
--- a/tests/routing/test_server_table.py
+++ b/tests/routing/test_server_table.py
@@ -24,23 +24,23 @@
 class MembershipTests(TableTestCase):
     """Servers come from control's view and from announcements."""
 
-    def test_announced_server_is_known_until_it_is_silent(self) -> None:
+    def test_announced_server_is_known_until_its_announcement_expires(self) -> None:
         self.table.record_announcement(announcement("b2"))
         self.assertEqual(len(self.table.servers("orders")), 4)
         self.clock.advance(5.1)
         self.assertEqual(len(self.table.servers("orders")), 3)
         self.assertEqual(self.table.announcements(), [])
 
-    def test_announcement_moves_a_server_before_control_does(self) -> None:
+    def test_announced_address_replaces_the_committed_one(self) -> None:
         self.table.record_announcement(announcement("b1"))
         self.assertEqual(self.view("b1").server.address.port, 7001)
 
-    def test_server_that_control_dropped_is_gone(self) -> None:
+    def test_server_removed_by_control_is_unknown(self) -> None:
         self.table.adopt_committed([server("a1")])
         self.assertIsNone(self.table.get("b1"))
         self.table.end("b1", 0.1, is_answered=True)
 
-    def test_server_that_stays_after_all_gets_work_again(self) -> None:
+    def test_server_that_is_no_longer_leaving_gets_work_again(self) -> None:
         self.table.record_status(status("b1", 5, is_leaving=True), 0)
         self.assertFalse(self.view("b1").takes_replica_work)
         self.table.record_status(status("b1", 5), 0)
@@ -48,9 +48,9 @@
 
 
 class StatusTests(TableTestCase):
-    """Bounds count from when the status was asked for."""
+    """Bounds count from when the status was requested."""
 
-    def test_elapsed_time_counts_from_the_question(self) -> None:
+    def test_elapsed_time_counts_from_the_request(self) -> None:
         self.clock.advance(1.0)
         self.table.record_status(status("b1", 5), asked_at=0.75)
         self.assertEqual(self.view("b1").elapsed_ms, 250)
@@ -64,15 +64,15 @@
 
 
 class ReachabilityTests(TableTestCase):
-    """Control hears for how long a server has given no answer.
+    """Observations report for how long a server has not answered.
 
-    A primary is demoted though it was never down. Cause: an observer was frozen
-    for a minute, and on waking its attempts have all timed out.
+    Guards against the demotion of a primary that was never down: an observer is
+    suspended for a minute, and when it resumes all its attempts have timed out.
     """
 
     def unreachable_ms(self) -> float:
-        (seen,) = self.table.observations()
-        return seen.unreachable_ms
+        (observation,) = self.table.observations()
+        return observation.unreachable_ms
 
     def test_time_counts_from_the_last_answer(self) -> None:
         self.table.record_status(status("b1", 5), asked_at=0)
@@ -86,20 +86,20 @@
         self.table.record_status(status("b1", 5), asked_at=0.6)
         self.assertEqual(self.unreachable_ms(), 0)
 
-    def test_answer_with_an_error_is_an_answer(self) -> None:
+    def test_error_answer_counts_as_an_answer(self) -> None:
         self.table.record_status(status("b1", 5), asked_at=0)
         self.clock.advance(0.5)
         self.table.record_failure("b1")
         self.table.record_reachable("b1")
         self.assertEqual(self.unreachable_ms(), 0)
 
-    def test_frozen_observer_counts_one_bounded_step(self) -> None:
+    def test_suspended_observer_counts_one_bounded_step(self) -> None:
         self.table.record_status(status("b1", 5), asked_at=0)
         self.clock.advance(60)
         self.table.record_failure("b1")
         self.assertLessEqual(self.unreachable_ms(), 1000)
 
-    def test_frozen_table_of_one_server_reports_no_others(self) -> None:
+    def test_server_without_attempts_is_not_reported(self) -> None:
         table = ServerTable(self.clock)
         table.adopt_committed([server("a1")])
         self.assertEqual(table.observations(), [])
