--- a/packages/requests/src/dogwoodspool_requests/const.py
+++ b/packages/requests/src/dogwoodspool_requests/const.py
@@ -1,4 +1,4 @@
-"""Statements on the table of request ids."""
+"""SQL statements for the table of request ids, and error numbers of the database."""
 
 from typing import Final
 
--- a/packages/requests/src/dogwoodspool_requests/errors.py
+++ b/packages/requests/src/dogwoodspool_requests/errors.py
@@ -12,4 +12,4 @@
 
 
 class RequestNotRunError(RequestError):
-    """Report a request whose transaction surely did not commit."""
+    """Report a request whose transaction is known not to have committed."""
--- a/packages/requests/src/dogwoodspool_requests/models.py
+++ b/packages/requests/src/dogwoodspool_requests/models.py
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestIdentity:
-    """What makes two requests the same one.
+    """Identity of a request; two requests with the same identity are the same.
 
     Attributes:
-        request_id: given by the caller, unique in its database group.
-        fingerprint: digest of the statement, to tell a resend from a reused id.
+        request_id: chosen by the caller, unique in its database group.
+        fingerprint: digest of the statement, to distinguish a resend from a reused id.
     """
 
     request_id: str
@@ -29,10 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """How a request ended.
+    """Outcome of a request.
 
     Attributes:
-        is_replay: the request had run before; this is its first outcome.
+        is_replay: whether the request had run before; this is then the outcome of its
+            first run.
     """
 
     affected_rows: int
@@ -41,7 +42,7 @@
 
 
 class ResultLike(Protocol):
-    """What this library reads of a statement's result."""
+    """The parts of a statement's result that this library reads."""
 
     @property
     def rows(self) -> Iterator[Sequence[bytes | str | None]]:
@@ -50,7 +51,7 @@
 
     @property
     def affected_rows(self) -> int:
-        """Rows changed by a write."""
+        """Number of rows changed by a write."""
         ...
 
     @property
--- a/packages/requests/src/dogwoodspool_requests/runner.py
+++ b/packages/requests/src/dogwoodspool_requests/runner.py
@@ -1,8 +1,9 @@
-"""Run a write with a request id: in one transaction with its request's row.
+"""Run a write with a request id in one transaction with a row for the request.
 
-The row lies in the database group itself, so it is committed, replicated and lost
-together with the write: after a change of primary a resend finds either both or
-neither. A row in the proxies' or control's own state could outlive or miss the write.
+The row is stored in the database group itself, so it is committed, replicated and
+lost together with the write: after a change of primary a resend finds either both or
+neither. A row in the state of the proxies or control could exist without the write,
+or be missing although the write was committed.
 """
 
 from collections.abc import Callable
@@ -26,10 +27,10 @@
 
 
 class StatementRunner(Protocol):
-    """A connection to the group's primary that nobody else uses meanwhile."""
+    """An exclusive connection to the group's primary."""
 
     def execute(self, sql: str, timeout: float) -> ResultLike:
-        """Run one statement within some seconds."""
+        """Run one statement with a timeout in seconds."""
         ...
 
 
@@ -51,9 +52,9 @@
         """Run the write, or return the outcome of its first run.
 
         Raises:
-            RequestIdReusedError: the id belongs to another statement.
+            RequestIdReusedError: the id was used for another statement.
             RequestNotRunError: nothing was committed; a resend is safe.
-            StatementFailedError: the database refused the write; it was undone.
+            StatementFailedError: the database refused the write; it was rolled back.
             OutcomeUnknownError: the commit was sent and no answer came.
         """
         try:
@@ -61,14 +62,14 @@
                 return self._first_outcome(identity)
             outcome = self._write(identity, sql)
         except OutcomeUnknownError as error:
-            # Without a commit the database undoes the transaction when it sees
-            # the connection's end.
+            # Without a commit the database rolls the transaction back when it detects
+            # that the connection is closed.
             raise RequestNotRunError(f"nothing was committed: {error}") from error
         self._execute("COMMIT")
         return outcome
 
     def _begin(self, identity: RequestIdentity) -> bool:
-        """Open the transaction with the request's row; False if it exists."""
+        """Begin the transaction with the request's row; return False if it exists."""
         try:
             return self._insert_row(identity)
         except StatementFailedError as error:
@@ -113,7 +114,10 @@
         result = self._execute(SELECT_OUTCOME.format(request_id=identity.request_id))
         rows = list(result.rows)
         if not rows:
-            raise RequestNotRunError("the request's row was pruned meanwhile")
+            raise RequestNotRunError(
+                f"outcome of request id {identity.request_id} was pruned before it "
+                "could be read"
+            )
         fingerprint, affected_rows, last_insert_id = rows[0]
         if _text(fingerprint) != identity.fingerprint:
             raise RequestIdReusedError(
--- a/tests/requests/test_runner.py
+++ b/tests/requests/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of requests that run at most once, on SQLite as the group's database."""
+"""Tests of requests that run at most once, with SQLite as the group's database."""
 
 import contextlib
 import sqlite3
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Answer:
+class Result:
     """A statement's result."""
 
     affected_rows: int
@@ -34,7 +34,12 @@
 
 
 class Database:
-    """A group's database; ``fail_at`` loses the connection at a statement."""
+    """A group's database.
+
+    Attributes:
+        fail_at: number of statements to run before the connection is lost, if any.
+        answer_is_lost: whether the statement at which it is lost runs first.
+    """
 
     def __init__(self) -> None:
         self.database = sqlite3.connect(":memory:", isolation_level=None)
@@ -43,16 +48,16 @@
         self.fail_at: int | None = None
         self.answer_is_lost = False
 
-    def lines(self) -> int:
-        """Return how often the write has run."""
+    def line_count(self) -> int:
+        """Return how often the write was committed."""
         return int(self.database.execute("SELECT COUNT(*) FROM lines").fetchone()[0])
 
-    def execute(self, sql: str, _timeout: float) -> Answer:
+    def execute(self, sql: str, _timeout: float) -> Result:
         """Run one statement."""
         if self.fail_at is not None:
             self.fail_at -= 1
             if self.fail_at < 0:
-                self._lose(sql)
+                self._lose_connection(sql)
         try:
             cursor = self.database.execute(sql)
         except sqlite3.IntegrityError as error:
@@ -63,9 +68,9 @@
             tuple(None if value is None else str(value) for value in row)
             for row in cursor.fetchall()
         ]
-        return Answer(max(0, cursor.rowcount), cursor.lastrowid or 0, rows)
+        return Result(max(0, cursor.rowcount), cursor.lastrowid or 0, rows)
 
-    def _lose(self, sql: str) -> None:
+    def _lose_connection(self, sql: str) -> None:
         if self.answer_is_lost:
             with contextlib.suppress(sqlite3.Error):
                 self.database.execute(sql)
@@ -81,45 +86,45 @@
 
 
 class RequestRunnerTests(unittest.TestCase):
-    """A request id runs its statement once and always gives the first outcome."""
+    """A request id runs its statement once and always returns the first outcome."""
 
     def setUp(self) -> None:
         self.database = Database()
 
-    def test_a_resend_gives_the_first_outcome(self) -> None:
+    def test_a_resend_returns_the_first_outcome(self) -> None:
         first = run(self.database)
-        self.assertEqual((run(self.database), self.database.lines()), (first, 1))
+        self.assertEqual((run(self.database), self.database.line_count()), (first, 1))
 
     def test_an_id_of_another_statement_is_refused(self) -> None:
         run(self.database)
         with self.assertRaises(RequestIdReusedError):
             run(self.database, sql="DELETE FROM lines")
-        self.assertEqual(self.database.lines(), 1)
+        self.assertEqual(self.database.line_count(), 1)
 
-    def test_a_refused_write_leaves_no_trace(self) -> None:
+    def test_a_refused_write_is_rolled_back_with_its_row(self) -> None:
         with self.assertRaises(StatementFailedError):
             run(self.database, sql="INSERT INTO nowhere VALUES (1)")
         self.assertEqual(run(self.database, sql=INSERT), 1)
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(st.integers(0, 8), st.booleans(), st.integers(0, 8), st.booleans())
-    def test_lost_connections_never_make_it_run_twice(
+    def test_lost_connections_never_run_the_write_twice(
         self, first: int, first_lost: bool, second: int, second_lost: bool
     ) -> None:
-        # A caller's proxy loses its connection somewhere in a chat line's
-        # transaction, before or after the database has taken the statement. The
-        # caller resends through another proxy, which may lose it again, and once
-        # more. The line must stand there exactly once.
+        # Guards against writes that run twice. A proxy loses its connection at some
+        # statement of the transaction, before or after the database has run that
+        # statement. The caller resends through another proxy, which may lose its
+        # connection as well, and then once more. The row must exist exactly once.
         database = Database()
         for fail_at, is_lost in ((first, first_lost), (second, second_lost)):
             database.fail_at, database.answer_is_lost = fail_at, is_lost
-            before = database.lines()
+            before = database.line_count()
             try:
                 run(database)
             except RequestNotRunError:
-                self.assertEqual(database.lines(), before)
+                self.assertEqual(database.line_count(), before)
             except OutcomeUnknownError:
                 pass
         database.fail_at = None
         run(database)
-        self.assertEqual(database.lines(), 1)
+        self.assertEqual(database.line_count(), 1)
