--- a/packages/load/src/dogwoodspool_load/capacity_page.py
+++ b/packages/load/src/dogwoodspool_load/capacity_page.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from dogwoodspool_control.const import MAX_RENEW_ITEMS, MAX_SERVERS, MAX_WATCHERS
-from dogwoodspool_sharing.roster import interval
+from dogwoodspool_sharing.roster import presence_interval
 
 from .capacity import (
     BUDGET_BYTES,
@@ -319,7 +319,7 @@
 
 def _sharing() -> str:
     neighbours = math.ceil(DAEMONS / FAILURE_DOMAINS)
-    pause = interval(neighbours)
+    pause = presence_interval(neighbours)
     names = neighbours * NEIGHBOUR_BYTES
     hashes = neighbours * DATABASES // SERVERS_PER_GROUP
     changes = RESTARTS_A_DAY / FAILURE_DOMAINS
--- a/packages/pooler/src/dogwoodspool_pooler/shared/owner_client.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/owner_client.py
@@ -96,11 +96,11 @@
                 return self._silent(owner, error)
 
     def _unavailable(self, owner: Neighbour, error: Exception) -> OwnerUnavailableError:
-        self._directory.note_failed(owner.name)
+        self._directory.record_owner_failure(owner.name)
         log_rate_limited("owner_passed_over", owner=owner.name, reason=error)
         return OwnerUnavailableError(f"{owner.name}: {error}")
 
     def _silent(self, owner: Neighbour, error: Exception) -> OwnerSilentError:
-        self._directory.note_failed(owner.name)
+        self._directory.record_owner_failure(owner.name)
         log_rate_limited("owner_silent", owner=owner.name, reason=error)
         return OwnerSilentError(f"{owner.name}: {error}")
--- a/packages/sharing/src/dogwoodspool_sharing/directory.py
+++ b/packages/sharing/src/dogwoodspool_sharing/directory.py
@@ -84,7 +84,7 @@
             ordered = order_for(self._own.name, group, chosen)
             return [one for one in ordered if not self._is_passed_over(one.name)]
 
-    def note_failed(self, name: str) -> None:
+    def record_owner_failure(self, name: str) -> None:
         """Pass an owner over for a while that gave no answer."""
         with self._lock:
             self._failed_at[name] = self._clock.now()
--- a/packages/sharing/src/dogwoodspool_sharing/presence_api.py
+++ b/packages/sharing/src/dogwoodspool_sharing/presence_api.py
@@ -14,7 +14,7 @@
     PRESENCE_SETTLING_SECONDS,
 )
 from .models import Neighbour, NeighbourMessage, Presence, PresenceResponse
-from .roster import ProxyRoster, interval
+from .roster import ProxyRoster, presence_interval
 
 
 class PresenceApi:
@@ -39,7 +39,7 @@
         neighbours = self._roster.note(presence)
         members = sorted(self._members(), key=lambda one: one.address)
         digest = _digest(neighbours, members)
-        pause = interval(len(neighbours))
+        pause = presence_interval(len(neighbours))
         is_news = presence.known != digest
         if is_news:
             pause *= PRESENCE_SETTLING_SECONDS / PRESENCE_SECONDS
--- a/packages/sharing/src/dogwoodspool_sharing/roster.py
+++ b/packages/sharing/src/dogwoodspool_sharing/roster.py
@@ -40,7 +40,7 @@
                     neighbour, presence.failure_domain, now
                 )
             heard = self._heard_in(presence.failure_domain)
-            oldest = now - MISSED_PRESENCES * interval(len(heard))
+            oldest = now - MISSED_PRESENCES * presence_interval(len(heard))
             present = [one for one in heard if one.heard_at >= oldest]
             for entry in heard:
                 if entry.heard_at < oldest:
@@ -55,11 +55,11 @@
         ]
 
 
-def interval(proxies: int) -> float:
+def presence_interval(proxies: int) -> float:
     """Return the seconds between two heartbeats in a failure domain of some size.
 
     Example:
-        >>> interval(24), interval(683)
+        >>> presence_interval(24), presence_interval(683)
         (1.0, 6.83)
     """
     return max(PRESENCE_SECONDS, proxies / PRESENCES_PER_SECOND)
--- a/tests/pooler/shared/neighbours.py
+++ b/tests/pooler/shared/neighbours.py
@@ -111,7 +111,7 @@
         left = [one for one in self.names if one not in self.failed]
         return [Neighbour(one, f"{one}:1") for one in left]
 
-    def note_failed(self, name: str) -> None:
+    def record_owner_failure(self, name: str) -> None:
         self.failed.append(name)
 
 
--- a/tests/sharing/test_presence.py
+++ b/tests/sharing/test_presence.py
@@ -20,7 +20,7 @@
     ProxyRoster,
 )
 from dogwoodspool_sharing.const import MISSED_PRESENCES, PRESENCE_SECONDS
-from dogwoodspool_sharing.roster import interval
+from dogwoodspool_sharing.roster import presence_interval
 
 CONTROL = (Address("10.1.0.1", 7440), Address("10.2.0.1", 7440))
 
@@ -125,5 +125,5 @@
         self.assertIn(PRESENCE_SECONDS, pauses)
 
     def test_signs_of_life_come_less_often_from_a_large_failure_domain(self) -> None:
-        self.assertEqual(interval(9), PRESENCE_SECONDS)
-        self.assertGreater(interval(683), 6 * PRESENCE_SECONDS)
+        self.assertEqual(presence_interval(9), PRESENCE_SECONDS)
+        self.assertGreater(presence_interval(683), 6 * PRESENCE_SECONDS)
