--- a/packages/sharing/src/dogwoodspool_sharing/__init__.py
+++ b/packages/sharing/src/dogwoodspool_sharing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose the proxies that own a group's pools, and know which proxies there are."""
+"""Choose the proxies that own a group's pools and track which proxies run."""
 
 from .directory import ProxyDirectory
 from .models import Neighbour, ServerLimits
--- a/packages/sharing/src/dogwoodspool_sharing/directory.py
+++ b/packages/sharing/src/dogwoodspool_sharing/directory.py
@@ -1,25 +1,26 @@
-"""The proxies of the own failure domain, and which of them own a group's pools."""
+"""The proxies of this failure domain, and which of them own a group's pools."""
 
 import threading
 from collections.abc import Iterable, Mapping, Sequence
 
 from dogwoodspool_common import Clock, log_event
 
-from .const import NEIGHBOUR_LIFE_SECONDS, OWNER_RETRY_SECONDS
+from .const import NEIGHBOUR_RETENTION_SECONDS, OWNER_RETRY_SECONDS
 from .models import Neighbour, Owners, ServerLimits
-from .ownership import assign_owners, is_shared, order_for, owner_count
+from .ownership import assign_owners, is_shared, owner_count, owner_order
 
 
 class ProxyDirectory:
-    """Know the neighbours of one proxy.
+    """Track the neighbours of one proxy and the owners among them.
 
-    A neighbour that control no longer names is kept for a moment while control answers,
-    and for as long as it does not: a failure domain that is cut off for hours keeps its
-    owners.
+    While control answers, a neighbour that it no longer reports is kept for the
+    retention period. While control does not answer, all neighbours are kept, so that a
+    failure domain that is disconnected for hours keeps its owners.
 
     Args:
         own: this process.
-        failure_domains: how many there are; all are taken to have as many proxies.
+        failure_domains: number of failure domains; all are assumed to have the same
+            number of proxies.
     """
 
     def __init__(self, own: Neighbour, failure_domains: int, clock: Clock) -> None:
@@ -31,24 +32,24 @@
         self._missing_since: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
         self._limits: dict[str, ServerLimits] = {}
-        # Of the groups whose pools are shared; None until they are looked up.
+        # Owners of the groups whose pools are shared; None until they are needed.
         self._owners: dict[str, Owners] | None = None
 
     @property
     def count(self) -> int:
-        """Proxies of the failure domain, this one included."""
+        """Number of proxies in the failure domain, including this one."""
         with self._lock:
             return len(self._neighbours)
 
-    def adopt(self, named: Iterable[Neighbour]) -> None:
-        """Take over the proxies that control names."""
+    def adopt(self, reported: Iterable[Neighbour]) -> None:
+        """Update the neighbours to the proxies that control reports."""
         now = self._clock.now()
-        by_name = {one.name: one for one in named}
+        by_name = {neighbour.name: neighbour for neighbour in reported}
         with self._lock:
             merged = {**by_name, self._own.name: self._own}
             for name in self._neighbours.keys() - merged.keys():
                 since = self._missing_since.setdefault(name, now)
-                if now - since < NEIGHBOUR_LIFE_SECONDS:
+                if now - since < NEIGHBOUR_RETENTION_SECONDS:
                     merged[name] = self._neighbours[name]
             self._missing_since = {
                 name: since
@@ -62,17 +63,17 @@
         log_event("neighbours", count=len(merged), named=len(by_name))
 
     def set_groups(self, limits: Mapping[str, ServerLimits]) -> None:
-        """Take over what each group's servers take; groups left out are not shared."""
+        """Set the server limits of each group; groups left out are not shared."""
         with self._lock:
             if limits != self._limits:
                 self._limits = dict(limits)
                 self._owners = None
 
     def owners(self, group: str) -> Sequence[Neighbour] | None:
-        """Return the proxies that a request to a group goes to, the first one first.
+        """Return the proxies to try for a request to a group, in this order.
 
         Returns:
-            None where this process uses connections of its own; nothing where none of
+            None if this process uses its own connections; an empty sequence if none of
             the owners answers at present.
         """
         with self._lock:
@@ -81,11 +82,11 @@
             chosen = self._owners.get(group)
             if chosen is None or self._own in chosen.in_use:
                 return None
-            ordered = order_for(self._own.name, group, chosen)
-            return [one for one in ordered if not self._is_passed_over(one.name)]
+            ordered = owner_order(self._own.name, group, chosen)
+            return [owner for owner in ordered if not self._failed_lately(owner.name)]
 
     def record_owner_failure(self, name: str) -> None:
-        """Pass an owner over for a while that gave no answer."""
+        """Record that an owner did not answer; it is skipped for the retry time."""
         with self._lock:
             self._failed_at[name] = self._clock.now()
 
@@ -98,7 +99,7 @@
         }
         return assign_owners(counts, self._neighbours.values())
 
-    def _is_passed_over(self, name: str) -> bool:
+    def _failed_lately(self, name: str) -> bool:
         failed_at = self._failed_at.get(name)
         if failed_at is None:
             return False
--- a/packages/sharing/src/dogwoodspool_sharing/models.py
+++ b/packages/sharing/src/dogwoodspool_sharing/models.py
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Neighbour:
-    """A proxy of one's own failure domain.
+    """A proxy of the same failure domain.
 
     Attributes:
         name: unique within the system.
-        address: where other processes of the system reach it, as ``HOST:PORT``.
+        address: address for other processes of the system, as ``HOST:PORT``.
     """
 
     name: str
@@ -21,7 +21,7 @@
 
     @property
     def endpoint(self) -> Address:
-        """The address in parts."""
+        """The parsed address."""
         return Address.parse(self.address)
 
 
@@ -30,8 +30,8 @@
     """The proxies of a failure domain whose pools serve a group.
 
     Attributes:
-        in_use: requests go to these.
-        in_reserve: and to these where none of the others answers.
+        in_use: owners that requests go to.
+        in_reserve: owners that requests go to when none of those in use answers.
     """
 
     in_use: tuple[Neighbour, ...]
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What each server of a group takes.
+    """Capacity of each server of a group.
 
     Attributes:
         slots: statements that it runs at a time.
-        connections: connections from all processes together.
+        connections: maximum connections from all processes together.
     """
 
     slots: int
@@ -52,11 +52,11 @@
 
 
 class Presence(Message):
-    """A proxy tells a control process that it runs.
+    """Heartbeat of a proxy to a control process.
 
     Attributes:
-        is_leaving: it takes no more requests of other proxies.
-        known: digest of the answer that it holds; empty for none.
+        is_leaving: whether it no longer takes requests of other proxies.
+        known: digest of the last answer that it received; empty for none.
     """
 
     proxy: Name
@@ -67,18 +67,18 @@
 
 
 class NeighbourMessage(Message):
-    """A proxy of the asker's failure domain."""
+    """A proxy of the sender's failure domain."""
 
     proxy: Name
     address: HostPort
 
 
 class PresenceResponse(Message):
-    """The proxies of the asker's failure domain and the control processes.
+    """The proxies of the sender's failure domain and the control processes.
 
     Attributes:
-        digest: of both lists; they are left out where the asker holds them already.
-        next_ms: when the next heartbeat is due.
+        digest: digest of both lists; they are omitted if the sender has them already.
+        next_ms: milliseconds until the next heartbeat is due.
     """
 
     digest: str
--- a/packages/sharing/src/dogwoodspool_sharing/ownership.py
+++ b/packages/sharing/src/dogwoodspool_sharing/ownership.py
@@ -1,10 +1,10 @@
-"""Which proxies own a group's pools; no input or output here.
+"""Choose the proxies that own a group's pools; pure functions without I/O.
 
-The load pattern that it answers: proxies are many, and a request to one server comes to
-one proxy seldom. Pools of their own would either hold more connections than the server
-takes, or open one for nearly every request; and queues of their own would fill the
-server's, where nobody orders requests by priority or refuses them in time. So the
-proxies of a failure domain hand their requests to a few of them.
+Where there are many proxies, each of them rarely gets a request for a given server. If
+each proxy had its own pool, the pools would either hold more connections than the
+server accepts or open one for nearly every request. If each had its own queue, requests
+would queue in the server instead, which neither orders them by priority nor refuses
+them in time. So the proxies of a failure domain forward their requests to a few owners.
 """
 
 import hashlib
@@ -25,12 +25,13 @@
 
 
 def is_shared(limits: ServerLimits, neighbours: int, failure_domains: int) -> bool:
-    """Tell whether the proxies of a failure domain share a group's pools.
+    """Return whether the proxies of a failure domain share a group's pools.
 
     Args:
-        limits: what each server of the group takes.
-        neighbours: proxies of the failure domain; the others are taken to have as many.
-        failure_domains: how many there are.
+        limits: capacity of each server of the group.
+        neighbours: number of proxies of the failure domain; the other failure domains
+            are assumed to have as many.
+        failure_domains: number of failure domains.
 
     Example:
         >>> limits = ServerLimits(slots=3, connections=35)
@@ -44,8 +45,8 @@
 def owner_count(limits: ServerLimits, failure_domains: int) -> int:
     """Return how many owners each failure domain uses for one group.
 
-    It follows from the servers alone: what all owners together may be asked is bounded
-    by them, however many proxies there are.
+    The number depends on the servers alone: they bound the work of all owners together,
+    however many proxies there are.
 
     Example:
         >>> owner_count(ServerLimits(slots=3, connections=166), 5)
@@ -56,8 +57,8 @@
     domains = max(1, failure_domains)
     by_slots = math.ceil(OWNERS_PER_SLOT * limits.slots / domains)
     by_connections = limits.connections // domains // CONNECTIONS_PER_OWNER
-    least = min(MIN_OWNERS, math.ceil(MIN_OWNERS_IN_USE / domains))
-    return max(least, min(by_slots, by_connections))
+    minimum = min(MIN_OWNERS, math.ceil(MIN_OWNERS_IN_USE / domains))
+    return max(minimum, min(by_slots, by_connections))
 
 
 def assign_owners(
@@ -65,38 +66,39 @@
 ) -> dict[str, Owners]:
     """Return the owners of each group, by rendezvous hashing with bounded loads.
 
-    Every proxy comes to the same owners without asking; those that know of other
-    neighbours for a moment come to some others, which costs connections only. Few
-    owners change with a proxy. None owns more than an even part of the groups, since
-    chance would give some instances the traffic of three groups, and their links or
-    processors would be full first.
+    All proxies compute the same owners without communication. Proxies whose known
+    neighbours differ for a moment compute some other owners, which only costs
+    additional connections. When a proxy comes or goes, few owners change. No proxy owns
+    more than an equal part of the groups: by chance some instances would otherwise get
+    the traffic of three groups, and their network links or processors would be
+    saturated first.
 
     Args:
-        groups: how many owners in use each has.
+        groups: the number of owners in use of each group.
         neighbours: the proxies of the failure domain.
     """
-    most = math.ceil(sum(groups.values()) / max(1, len(neighbours)))
+    max_owned = math.ceil(sum(groups.values()) / max(1, len(neighbours)))
     owned: Counter[str] = Counter()
     assigned = {}
     for group, count in sorted(groups.items()):
         ranked = sorted(neighbours, key=partial(_weight_of, group))
-        ranked.sort(key=lambda one: owned[one.name] >= most)
+        ranked.sort(key=lambda neighbour: owned[neighbour.name] >= max_owned)
         total = max(MIN_OWNERS, count)
         assigned[group] = Owners(tuple(ranked[:count]), tuple(ranked[count:total]))
-        owned.update(one.name for one in assigned[group].in_use)
+        owned.update(owner.name for owner in assigned[group].in_use)
     return assigned
 
 
-def order_for(proxy: str, group: str, owners: Owners) -> Sequence[Neighbour]:
-    """Return the owners in the order in which a proxy turns to them.
+def owner_order(proxy: str, group: str, owners: Owners) -> Sequence[Neighbour]:
+    """Return the owners in the order in which a proxy tries them.
 
-    Each proxy begins at another one of those in use, and so they share the load. A
-    proxy that is in reserve itself turns to those before it.
+    Proxies start at different owners in use, so that the owners share the load. A proxy
+    that is itself in reserve tries only the owners before it.
     """
     in_use = owners.in_use
     first = int.from_bytes(_weight(group, proxy)) % len(in_use) if in_use else 0
     ordered = [*in_use[first:], *in_use[:first], *owners.in_reserve]
-    names = [one.name for one in ordered]
+    names = [owner.name for owner in ordered]
     return ordered[: names.index(proxy)] if proxy in names else ordered
 
 
--- a/packages/sharing/src/dogwoodspool_sharing/presence.py
+++ b/packages/sharing/src/dogwoodspool_sharing/presence.py
@@ -1,4 +1,4 @@
-"""Tell control that this proxy runs, and learn of its neighbours."""
+"""Send heartbeats of this proxy to control and receive its neighbours."""
 
 from dogwoodspool_common import (
     Clock,
@@ -17,11 +17,11 @@
 
 
 class PresenceCoordinator(Coordinator):
-    """Keep the directory at what control knows.
+    """Keep the directory of neighbours up to date with control.
 
     Args:
-        peers: the control processes in the order of the failure domain and not of this
-            process, so that one of them hears of all its proxies.
+        peers: the control processes in an order that is the same for the whole failure
+            domain, so that one of them gets the heartbeats of all its proxies.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         self._client = client
         self._is_leaving = False
         self._digest = ""
-        self._named: list[Neighbour] = []
+        self._reported: list[Neighbour] = []
 
     def leave(self) -> None:
-        """Have control tell the others that this process takes no more requests."""
+        """Have control report to the neighbours that this process takes no requests."""
         self._is_leaving = True
         self.wake()
 
@@ -73,15 +73,16 @@
             self._peers.note_failure(address)
             return PRESENCE_RETRY_SECONDS
         self._peers.note_success(address)
-        self._take(response)
+        self._apply(response)
         return response.next_ms / MILLISECONDS
 
-    def _take(self, response: PresenceResponse) -> None:
+    def _apply(self, response: PresenceResponse) -> None:
         self._digest = response.digest
         if response.proxies is not None:
-            self._named = [
-                Neighbour(one.proxy, one.address) for one in response.proxies
+            self._reported = [
+                Neighbour(message.proxy, message.address)
+                for message in response.proxies
             ]
         if response.members:
             self._peers.adopt(response.members)
-        self._directory.adopt(self._named)
+        self._directory.adopt(self._reported)
--- a/packages/sharing/src/dogwoodspool_sharing/presence_api.py
+++ b/packages/sharing/src/dogwoodspool_sharing/presence_api.py
@@ -1,4 +1,4 @@
-"""The endpoint of control processes at which proxies say that they run."""
+"""The endpoint of control processes for heartbeats of proxies."""
 
 import hashlib
 from collections.abc import Callable, Iterable
@@ -32,22 +32,22 @@
 
     def routes(self) -> list[Route]:
         """Return the endpoints."""
-        return [Route("POST", PATH_PRESENCE, self._note)]
+        return [Route("POST", PATH_PRESENCE, self._record)]
 
-    def _note(self, request: JsonRequest) -> JsonResponse:
+    def _record(self, request: JsonRequest) -> JsonResponse:
         presence = Presence.model_validate(request.body)
-        neighbours = self._roster.note(presence)
-        members = sorted(self._members(), key=lambda one: one.address)
+        neighbours = self._roster.record(presence)
+        members = sorted(self._members(), key=lambda member: member.address)
         digest = _digest(neighbours, members)
         pause = presence_interval(len(neighbours))
-        is_news = presence.known != digest
-        if is_news:
+        has_changed = presence.known != digest
+        if has_changed:
             pause *= PRESENCE_SETTLING_SECONDS / PRESENCE_SECONDS
         response = PresenceResponse(digest=digest, next_ms=round(pause * MILLISECONDS))
-        if is_news:
+        if has_changed:
             proxies = [
-                NeighbourMessage(proxy=one.name, address=one.address)
-                for one in neighbours
+                NeighbourMessage(proxy=neighbour.name, address=neighbour.address)
+                for neighbour in neighbours
             ]
             response = response.model_copy(
                 update={"proxies": proxies, "members": members}
@@ -56,7 +56,7 @@
 
 
 def _digest(neighbours: Iterable[Neighbour], members: Iterable[MemberMessage]) -> str:
-    lines = [f"{one.name} {one.address}" for one in neighbours]
-    lines += [f"{one.address} {one.failure_domain}" for one in members]
+    lines = [f"{neighbour.name} {neighbour.address}" for neighbour in neighbours]
+    lines += [f"{member.address} {member.failure_domain}" for member in members]
     content = "\n".join(lines).encode()
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
--- a/packages/sharing/src/dogwoodspool_sharing/roster.py
+++ b/packages/sharing/src/dogwoodspool_sharing/roster.py
@@ -1,11 +1,11 @@
-"""The proxies that a control process hears of."""
+"""The proxies that send heartbeats to a control process."""
 
 import threading
 from dataclasses import dataclass
 
 from dogwoodspool_common import Clock
 
-from .const import MISSED_PRESENCES, PRESENCE_SECONDS, PRESENCES_PER_SECOND
+from .const import MAX_MISSED_HEARTBEATS, PRESENCE_SECONDS, PRESENCES_PER_SECOND
 from .models import Neighbour, Presence
 
 
@@ -13,14 +13,14 @@
 class _Entry:
     neighbour: Neighbour
     failure_domain: str
-    heard_at: float
+    last_heartbeat: float
 
 
 class ProxyRoster:
-    """Remember which proxies run, for as long as they say so.
+    """Keep the proxies that run, for as long as their heartbeats arrive.
 
-    Nothing of it is replicated or stored: proxies say it again within a second, and one
-    that knows of too few neighbours opens connections of its own.
+    The roster is neither replicated nor stored: proxies send another heartbeat within a
+    second, and a proxy that knows of too few neighbours opens its own connections.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -28,8 +28,8 @@
         self._lock = threading.Lock()
         self._entries: dict[str, _Entry] = {}
 
-    def note(self, presence: Presence) -> list[Neighbour]:
-        """Take in a heartbeat; return the proxies of the same failure domain."""
+    def record(self, presence: Presence) -> list[Neighbour]:
+        """Record a heartbeat; return the proxies of the same failure domain."""
         now = self._clock.now()
         neighbour = Neighbour(presence.proxy, presence.address)
         with self._lock:
@@ -39,24 +39,27 @@
                 self._entries[presence.proxy] = _Entry(
                     neighbour, presence.failure_domain, now
                 )
-            heard = self._heard_in(presence.failure_domain)
-            oldest = now - MISSED_PRESENCES * presence_interval(len(heard))
-            present = [one for one in heard if one.heard_at >= oldest]
-            for entry in heard:
-                if entry.heard_at < oldest:
+            entries = self._entries_in(presence.failure_domain)
+            oldest = now - MAX_MISSED_HEARTBEATS * presence_interval(len(entries))
+            present = [entry for entry in entries if entry.last_heartbeat >= oldest]
+            for entry in entries:
+                if entry.last_heartbeat < oldest:
                     del self._entries[entry.neighbour.name]
         return sorted(entry.neighbour for entry in present)
 
-    def _heard_in(self, failure_domain: str) -> list[_Entry]:
+    def _entries_in(self, failure_domain: str) -> list[_Entry]:
         return [
-            one
-            for one in self._entries.values()
-            if one.failure_domain == failure_domain
+            entry
+            for entry in self._entries.values()
+            if entry.failure_domain == failure_domain
         ]
 
 
 def presence_interval(proxies: int) -> float:
-    """Return the seconds between two heartbeats in a failure domain of some size.
+    """Return the seconds between two heartbeats of a proxy.
+
+    Args:
+        proxies: number of proxies in its failure domain.
 
     Example:
         >>> presence_interval(24), presence_interval(683)
