--- a/packages/sessions/src/dogwoodspool_sessions/__init__.py
+++ b/packages/sessions/src/dogwoodspool_sessions/__init__.py
@@ -1,4 +1,4 @@
-"""Hold session tokens and decide which position a read needs."""
+"""Encode session tokens and decide which position a read must reach."""
 
 from .const import NEW_SESSION
 from .errors import (
--- a/packages/sessions/src/dogwoodspool_sessions/errors.py
+++ b/packages/sessions/src/dogwoodspool_sessions/errors.py
@@ -4,16 +4,16 @@
 
 
 class SessionTokenError(DogwoodspoolError):
-    """Base of the reasons for which a session token is refused."""
+    """Base of the errors of refused session tokens."""
 
 
 class TokenMalformedError(SessionTokenError):
-    """Report a token that is cut short, too long or not a token at all."""
+    """Report a token that is truncated, too long or not a token at all."""
 
 
 class TokenSignatureError(SessionTokenError):
-    """Report a token that was signed with another key or was changed."""
+    """Report a token that was signed with another key or modified."""
 
 
 class TokenVersionError(SessionTokenError):
-    """Report a token of a format that this program does not know."""
+    """Report a token in a format version that this program does not support."""
--- a/packages/sessions/src/dogwoodspool_sessions/history.py
+++ b/packages/sessions/src/dogwoodspool_sessions/history.py
@@ -1,6 +1,6 @@
-"""Comparison of positions across a database group's terms.
+"""Compare positions across the terms of a database group.
 
-A group's history is the list of its term starts: ``Position(term, offset)`` says
+A group's history is the list of its term starts: ``Position(term, offset)`` means
 that the term branched from its predecessor after the entry ``offset``. A position
 of an older term is part of the newer history only up to the branch.
 """
@@ -11,9 +11,9 @@
 
 
 def is_lost(position: Position, term: int, term_starts: Sequence[Position]) -> bool:
-    """Tell whether a position lies past a branch on the way to a newer term.
+    """Return whether a position lies past a branch on the way to a newer term.
 
-    Such a position names log entries that the group no longer has.
+    Such a position refers to log entries that the group no longer has.
 
     Example:
         >>> is_lost(Position(1, 9), 2, [Position(2, 7)])
@@ -28,10 +28,10 @@
 def is_covered(
     position: Position, by: Position, term_starts: Sequence[Position]
 ) -> bool:
-    """Tell whether data at ``by`` surely holds everything up to ``position``.
+    """Return whether data at ``by`` is known to include everything up to ``position``.
 
-    Data of an older term never covers a position of a newer one, however large
-    its offset is: its entries past the branch are others.
+    Data of an older term never covers a position of a newer one, however large its
+    offset is: past the branch the two terms have different entries.
 
     Example:
         >>> is_covered(Position(1, 5), Position(2, 8), [Position(2, 7)])
--- a/packages/sessions/src/dogwoodspool_sessions/models.py
+++ b/packages/sessions/src/dogwoodspool_sessions/models.py
@@ -7,18 +7,23 @@
 
 
 class SessionRefusal(StrEnum):
-    """Why a session's position cannot be served."""
+    """Why a session's position cannot be served.
+
+    Attributes:
+        LOST: the group has lost writes of the session.
+        TERM_UNKNOWN: the position's term is newer than the one known to this proxy.
+    """
 
     LOST = "lost"
-    FROM_THE_FUTURE = "from_the_future"
+    TERM_UNKNOWN = "from_the_future"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadPosition:
-    """What a session's read must reach.
+    """The position that a session's read must reach.
 
     Attributes:
-        position: lower bound for the server's data; None when there is none.
+        position: lower bound for the server's data; None if there is none.
         is_known: whether the session's earlier writes are known; if not, only
             the primary is safe.
     """
--- a/packages/sessions/src/dogwoodspool_sessions/session.py
+++ b/packages/sessions/src/dogwoodspool_sessions/session.py
@@ -1,4 +1,4 @@
-"""A caller's session: what it has written and therefore must be able to read."""
+"""A caller's session: the positions of its writes, which its reads must reach."""
 
 from collections.abc import Mapping
 
@@ -12,10 +12,10 @@
 class Session:
     """Positions of one session, per database group.
 
-    A session is known in a group from a token, from the caller's word that it
-    is new, or from a position of the primary read after all its earlier writes.
-    Otherwise earlier writes through other proxies may exist, and reads go
-    where that is always safe.
+    The writes of a session in a group are known from a token, from the caller's
+    statement that the session is new, or from a position that was read from the
+    primary after all its earlier writes. Otherwise the session may have written through
+    other proxies, and its reads go to the primary, which is always safe.
     """
 
     def __init__(self) -> None:
@@ -28,13 +28,13 @@
         return dict(self._positions)
 
     def mark_complete(self) -> None:
-        """Note that no writes exist beyond the positions held here."""
+        """Record that the session has no writes beyond the positions held here."""
         self._is_complete = True
 
     def adopt(self, positions: Mapping[str, Position]) -> None:
-        """Take over the positions of a token.
+        """Merge the positions of a token.
 
-        A token older than what this connection has seen never lowers a position.
+        A token that is older than this connection's positions never lowers them.
         """
         for group, position in positions.items():
             self.advance(group, position)
@@ -47,17 +47,17 @@
             self._positions[group] = position
 
     def read_position(self, state: GroupState) -> Result[ReadPosition, SessionRefusal]:
-        """Decide what a read in the group must reach.
+        """Return the position that a read in the group must reach.
 
         Returns:
-            An error when the group no longer has what the session has written,
-            or when the session knows a term that this proxy does not know yet.
+            An error if the group has lost writes of the session, or if the session
+            refers to a newer term than the one known to this proxy.
         """
         position = self._positions.get(state.name)
         if position is None:
             return Ok(ReadPosition(None, self._is_complete))
         if position.term > state.term:
-            return Error(SessionRefusal.FROM_THE_FUTURE)
+            return Error(SessionRefusal.TERM_UNKNOWN)
         if is_lost(position, state.term, state.term_starts):
             return Error(SessionRefusal.LOST)
         return Ok(ReadPosition(position, True))
--- a/packages/sessions/src/dogwoodspool_sessions/token.py
+++ b/packages/sessions/src/dogwoodspool_sessions/token.py
@@ -22,11 +22,11 @@
 
 
 class TokenCodec:
-    """Write and read session tokens with one key.
+    """Encode and decode session tokens with one key.
 
-    A token carries, for each database group that the session has used, the
-    position that its reads must reach. Every proxy has the same key, so a
-    session moves between proxies by carrying its token.
+    A token contains, for each database group that the session has used, the
+    position that its reads must reach. All proxies have the same key, so a session
+    can continue at another proxy with its token.
 
     Example:
         >>> codec = TokenCodec(bytes(32))
@@ -36,7 +36,9 @@
 
     def __init__(self, key: bytes) -> None:
         if len(key) < MIN_KEY_BYTES:
-            raise ValueError(f"the token key has less than {MIN_KEY_BYTES} bytes")
+            raise ValueError(
+                f"token key too short: {len(key)} bytes, minimum {MIN_KEY_BYTES}"
+            )
         self._key = key
 
     def encode(self, positions: Mapping[str, Position]) -> str:
@@ -53,17 +55,20 @@
         """Return the positions in a token.
 
         Raises:
-            TokenMalformedError: the text is no complete token.
-            TokenSignatureError: the signature is of another key.
-            TokenVersionError: the format is of a newer program.
+            TokenMalformedError: the text is not a complete token.
+            TokenSignatureError: the signature does not match this key.
+            TokenVersionError: the format version is not supported.
         """
         if len(token) > MAX_TOKEN_LENGTH:
-            raise TokenMalformedError("the session token is too long")
+            raise TokenMalformedError(
+                f"session token too long: {len(token)} characters, "
+                f"maximum {MAX_TOKEN_LENGTH}"
+            )
         payload, separator, signature = token.partition(TOKEN_SEPARATOR)
         if not separator:
-            raise TokenMalformedError("the session token is cut short")
+            raise TokenMalformedError("session token truncated: signature is missing")
         if not hmac.compare_digest(self._signature(payload), _from_text(signature)):
-            raise TokenSignatureError("the session token's signature does not match")
+            raise TokenSignatureError("session token signature does not match")
         return _read_positions(_from_text(payload))
 
     def _signature(self, payload: str) -> bytes:
@@ -74,7 +79,10 @@
 def _read_positions(content: bytes) -> dict[str, Position]:
     fields: dict[str, Any] = json.loads(content)
     if fields.get("v") != TOKEN_VERSION:
-        raise TokenVersionError("the session token has an unknown version")
+        raise TokenVersionError(
+            f"session token has unsupported version {fields.get('v')}, "
+            f"expected {TOKEN_VERSION}"
+        )
     return {
         group: Position(term, offset) for group, (term, offset) in fields["g"].items()
     }
@@ -89,4 +97,4 @@
     try:
         return base64.b64decode(padded.encode("ascii"), altchars=b"-_", validate=True)
     except (binascii.Error, ValueError) as error:
-        raise TokenMalformedError("the session token is malformed") from error
+        raise TokenMalformedError("session token is not valid base64") from error
--- a/tests/sessions/test_history.py
+++ b/tests/sessions/test_history.py
@@ -1,4 +1,4 @@
-"""Tests of positions across terms, against an oracle that holds whole logs."""
+"""Tests of positions across terms, against an oracle with complete logs."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class Logs:
-    """An oracle: for each term the log, as the term in which each entry was made."""
+    """Test oracle: the log of each term, as the term in which each entry was made."""
 
     def __init__(self, branches: list[tuple[int, int]]) -> None:
         self.logs: list[list[int]] = [[]]
@@ -43,11 +43,11 @@
 
 
 class HistoryTests(unittest.TestCase):
-    """A position counts as covered only where the data is really there."""
+    """A position counts as covered only if the data includes its entries."""
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(BRANCHES)
-    def test_covered_data_holds_what_was_written(
+    def test_covering_data_includes_what_was_written(
         self, branches: list[tuple[int, int]]
     ) -> None:
         logs = Logs(branches)
@@ -71,7 +71,7 @@
 
 
 class SessionTests(unittest.TestCase):
-    """A session is served only where its own writes are."""
+    """A session is served only where its own writes are present."""
 
     def setUp(self) -> None:
         self.session = Session()
@@ -79,7 +79,7 @@
             "orders", 2, "orders-2", Phase.STEADY, (Position(2, 7),)
         )
 
-    def test_a_session_without_a_past_here_is_not_known(self) -> None:
+    def test_a_session_without_positions_is_not_known(self) -> None:
         self.assertFalse(self.session.read_position(self.state).ok.is_known)
 
     def test_a_token_makes_the_session_known(self) -> None:
@@ -88,17 +88,17 @@
             self.session.read_position(self.state).ok.position, Position(1, 7)
         )
 
-    def test_a_token_past_the_branch_is_told(self) -> None:
-        # A caller comes back with a token of the old primary whose last writes
-        # were never acknowledged safely and are gone. Serving it stale would hide
-        # the loss, so it is refused.
+    def test_a_token_past_the_branch_is_refused(self) -> None:
+        # Guards against hidden data loss. A caller returns with a token of the old
+        # primary, whose last writes were not safely replicated and have been lost.
+        # Serving the read without them would hide the loss.
         self.session.adopt({"orders": Position(1, 8)})
         self.assertIs(self.session.read_position(self.state).error, SessionRefusal.LOST)
 
-    def test_a_token_of_a_newer_term_is_told(self) -> None:
+    def test_a_token_of_a_newer_term_is_refused(self) -> None:
         self.session.adopt({"orders": Position(3, 1)})
         refusal = self.session.read_position(self.state).error
-        self.assertIs(refusal, SessionRefusal.FROM_THE_FUTURE)
+        self.assertIs(refusal, SessionRefusal.TERM_UNKNOWN)
 
     def test_an_older_token_never_lowers_a_position(self) -> None:
         self.session.advance("orders", Position(2, 9))
--- a/tests/sessions/test_token.py
+++ b/tests/sessions/test_token.py
@@ -21,16 +21,18 @@
 
 
 class TokenCodecTests(unittest.TestCase):
-    """A token comes back as it was, or not at all."""
+    """A token is decoded to the encoded positions or refused."""
 
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(POSITIONS)
-    def test_a_token_comes_back_as_it_was(self, positions: dict[str, Position]) -> None:
+    def test_decoding_returns_the_positions(
+        self, positions: dict[str, Position]
+    ) -> None:
         self.assertEqual(CODEC.decode(CODEC.encode(positions)), positions)
 
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(POSITIONS, st.integers(0, 200))
-    def test_a_token_cut_short_is_refused(
+    def test_a_truncated_token_is_refused(
         self, positions: dict[str, Position], length: int
     ) -> None:
         token = CODEC.encode(positions)
@@ -42,7 +44,7 @@
         with self.assertRaises(TokenSignatureError):
             CODEC.decode(token)
 
-    def test_text_that_is_no_token_is_refused(self) -> None:
+    def test_text_that_is_not_a_token_is_refused(self) -> None:
         for text in ("", ".", "no token", "é.é", "a" * 10_000):
             with self.subTest(text[:10]), self.assertRaises(SessionTokenError):
                 CODEC.decode(text)
