--- a/features/mutations/guards/answers.py
+++ b/features/mutations/guards/answers.py
@@ -21,7 +21,7 @@
     replace(Wire, "abandon", lambda _self: None)
     replace(BackendConnection, "_lose", lambda _self: None)
     replace(ConnectionPool, "release", release)
-    replace(ConnectionHealth, "make_clean", lambda _self, _connection: True)
+    replace(ConnectionHealth, "reset_for_reuse", lambda _self, _connection: True)
     replace(ConnectionHealth, "is_usable", lambda _self, _connection, _deadline: True)
 
 
--- a/features/mutations/guards/transactions.py
+++ b/features/mutations/guards/transactions.py
@@ -20,7 +20,7 @@
             self._grants.end_write(transaction.permit)
 
     replace(TransactionPath, "end", end)
-    replace(ConnectionHealth, "make_clean", lambda _self, one: one.is_open)
+    replace(ConnectionHealth, "reset_for_reuse", lambda _self, one: one.is_open)
 
 
 def connection_shared() -> None:
@@ -40,7 +40,7 @@
         return answer
 
     replace(TransactionPath, "_execute", _execute)
-    replace(ConnectionHealth, "make_clean", lambda _self, one: one.is_open)
+    replace(ConnectionHealth, "reset_for_reuse", lambda _self, one: one.is_open)
 
 
 def commit_silence_acknowledged() -> None:
--- a/packages/backend/src/dogwoodspool_backend/connection.py
+++ b/packages/backend/src/dogwoodspool_backend/connection.py
@@ -71,7 +71,7 @@
         """Tell whether the last statement's answer was not read to its end."""
         return self._result is not None and not self._result.is_complete
 
-    def has_unasked_input(self) -> bool:
+    def has_unexpected_input(self) -> bool:
         """Tell whether an idle connection holds bytes or its end.
 
         A server that closed the connection while it was idle, or bytes that no
--- a/packages/connections/src/dogwoodspool_connections/health.py
+++ b/packages/connections/src/dogwoodspool_connections/health.py
@@ -28,7 +28,7 @@
         self._lock = threading.Lock()
         self._silent_at = NEVER
 
-    def change(self, settings: PoolSettings) -> None:
+    def update_settings(self, settings: PoolSettings) -> None:
         """Put other times in force."""
         self._settings = settings
 
@@ -50,7 +50,7 @@
         The check comes before the caller's statement is sent, so the statement
         can still go to another connection as not run.
         """
-        if connection.has_unasked_input():
+        if connection.has_unexpected_input():
             return False
         now = self._clock.now()
         is_recent = now - connection.answered_at < self._settings.check_after_idle
@@ -67,7 +67,7 @@
             return False
         return True
 
-    def make_clean(self, connection: PooledConnection) -> bool:
+    def reset_for_reuse(self, connection: PooledConnection) -> bool:
         """Leave nothing of one caller for the next; False when that failed."""
         if not connection.is_open or connection.has_unread_answer:
             return False
--- a/packages/connections/src/dogwoodspool_connections/pool.py
+++ b/packages/connections/src/dogwoodspool_connections/pool.py
@@ -146,7 +146,7 @@
         """
         self._health.note(connection)
         is_current = connection.generation == self._generation
-        if not reuse or not is_current or not self._health.make_clean(connection):
+        if not reuse or not is_current or not self._health.reset_for_reuse(connection):
             self._close(connection)
             return
         with self._lock:
@@ -165,7 +165,9 @@
         with self._lock:
             self._serve_waiters()
 
-    def change(self, connector: Connector[ConnectionT], settings: PoolSettings) -> None:
+    def update_settings(
+        self, connector: Connector[ConnectionT], settings: PoolSettings
+    ) -> None:
         """Put other settings in force.
 
         Connections opened under the old ones are closed: idle ones at once, those
@@ -175,7 +177,7 @@
             self._connector = connector
             self._settings = settings
             self._generation += 1
-        self._health.change(settings)
+        self._health.update_settings(settings)
         self.close_idle()
 
     def unload(self) -> None:
--- a/packages/connections/src/dogwoodspool_connections/pooled.py
+++ b/packages/connections/src/dogwoodspool_connections/pooled.py
@@ -43,7 +43,7 @@
         """Tell whether the last statement's answer was not read to its end."""
         ...
 
-    def has_unasked_input(self) -> bool:
+    def has_unexpected_input(self) -> bool:
         """Tell whether an idle connection holds bytes or its end."""
         ...
 
--- a/packages/emulator/src/dogwoodspool_emulator/servers.py
+++ b/packages/emulator/src/dogwoodspool_emulator/servers.py
@@ -43,7 +43,7 @@
     needs_reset: bool = False
     has_unread_answer: bool = False
 
-    def has_unasked_input(self) -> bool:
+    def has_unexpected_input(self) -> bool:
         """Tell whether the idle connection holds bytes or its end."""
         return not self.is_open
 
--- a/packages/proxy/src/dogwoodspool_proxy/backends.py
+++ b/packages/proxy/src/dogwoodspool_proxy/backends.py
@@ -191,7 +191,7 @@
             after.admission.set_queue_limit(settings.queue_limit)
             if _connects_otherwise(before.settings, settings):
                 connector = self._connector(settings)
-                after.pool.change(connector, PoolSettings.of(settings))
+                after.pool.update_settings(connector, PoolSettings.of(settings))
         self._set_limits(list(self._backends.values()))
 
     def _renewed(self, name: str, backend: Backend) -> Backend:
--- a/tests/backend/test_with_standin.py
+++ b/tests/backend/test_with_standin.py
@@ -146,12 +146,12 @@
         pool.release(idle, reuse=True)
         credentials = Credentials(USER, "no password of the server")
         connector = MySqlConnector(credentials, "fd-x", Statements(), CLOCK)
-        pool.change(connector, PoolSettings(connect_timeout=5))
+        pool.update_settings(connector, PoolSettings(connect_timeout=5))
         pool.release(used, reuse=True)
         self.assertFalse(idle.is_open or used.is_open)
         with self.assertRaises(ConnectFailedError):
             pool.acquire(CLOCK.now() + 5)
-        pool.change(self.connector(), PoolSettings(connect_timeout=5))
+        pool.update_settings(self.connector(), PoolSettings(connect_timeout=5))
         pool.release(pool.acquire(CLOCK.now() + 5), reuse=True)
         self.assertEqual(pool.open_count, 1)
 
--- a/tests/connections/test_expiry.py
+++ b/tests/connections/test_expiry.py
@@ -37,7 +37,7 @@
         self._network = network
         self.answered_at = network.clock.now()
 
-    def has_unasked_input(self) -> bool:
+    def has_unexpected_input(self) -> bool:
         return False
 
     def ping(self, timeout: float) -> None:
--- a/tests/pooler/fakes.py
+++ b/tests/pooler/fakes.py
@@ -152,7 +152,7 @@
     def has_unread_answer(self) -> bool:
         return False
 
-    def has_unasked_input(self) -> bool:
+    def has_unexpected_input(self) -> bool:
         return not self._is_open
 
     def ping(self, timeout: float) -> None:
