--- a/packages/connections/src/dogwoodspool_connections/__init__.py
+++ b/packages/connections/src/dogwoodspool_connections/__init__.py
@@ -1,4 +1,4 @@
-"""Pool connections to backend servers, whatever protocol they speak."""
+"""Connection pools of backend servers, independent of the protocol."""
 
 from .errors import (
     BackendError,
--- a/packages/connections/src/dogwoodspool_connections/const.py
+++ b/packages/connections/src/dogwoodspool_connections/const.py
@@ -7,7 +7,7 @@
 DEFAULT_CHECK_AFTER_IDLE: Final = 1.0
 DEFAULT_RESET_TIMEOUT: Final = 0.3
 DEFAULT_IDLE_EXPIRY: Final = 30.0
-# Connections of a pool that callers leave to probes, where there are several.
+# Connections reserved for probes in a pool whose limit is two or more.
 PROBE_RESERVE: Final = 1
 
 DEMAND_WINDOW: Final = 1.0
--- a/packages/connections/src/dogwoodspool_connections/errors.py
+++ b/packages/connections/src/dogwoodspool_connections/errors.py
@@ -9,10 +9,10 @@
     """Base of the errors of work on backend servers.
 
     Attributes:
-        suggests_unreachable: the server gave no answer where one was due.
-        is_sign_of_life: the server itself answered, though not as hoped. A server
-            that refuses a connection for want of room, or knows no such statement,
-            must not be taken for a failed one.
+        suggests_unreachable: whether the server gave no answer although one was due.
+        is_sign_of_life: whether the server itself answered, though with an error. A
+            server that refuses a connection because of its connection limit, or does
+            not know a statement, must not be considered failed.
     """
 
     suggests_unreachable: ClassVar[bool] = False
@@ -20,32 +20,32 @@
 
 
 class ConnectFailedError(BackendError):
-    """Report that no usable connection was there: nothing was sent."""
+    """Report that no usable connection was available: nothing was sent."""
 
     suggests_unreachable = True
 
 
 class ConnectionLimitError(ConnectFailedError):
-    """Report that the server takes no more connections (MySQL's 1040)."""
+    """Report that the server accepts no more connections (MySQL error 1040)."""
 
     suggests_unreachable = False
     is_sign_of_life = True
 
 
 class ServerNotReachedError(ConnectFailedError):
-    """Report that no new connection to the server came up."""
+    """Report that no new connection to the server could be opened."""
 
 
 class ServerDownError(ServerNotReachedError):
     """Report that nothing listens at the server's address.
 
-    Unlike silence, which a slow network or a busy server makes as well, this is
-    the word of a machine that runs without the server.
+    A missing answer may also be caused by a slow network or a busy server. Here the
+    machine itself refused the connection, so it is running and the server is not.
     """
 
 
 class DeadlinePassedError(ConnectFailedError):
-    """Report that a request's time was over before anything was sent.
+    """Report that a request's deadline passed before anything was sent.
 
     It says nothing about the server's health.
     """
@@ -54,20 +54,20 @@
 
 
 class PoolClosedError(ConnectFailedError):
-    """Report that the pool was unloaded: nothing was sent."""
+    """Report that the pool is closed: nothing was sent."""
 
     suggests_unreachable = False
 
 
 class PoolTimeoutError(BackendError):
-    """Report that no connection came free in time: nothing was sent.
+    """Report that no connection became free in time: nothing was sent.
 
     It says nothing about the server's health.
     """
 
 
 class OutcomeUnknownError(BackendError):
-    """Report that a statement was sent and no complete answer came.
+    """Report that a statement was sent and no complete answer was received.
 
     The statement may or may not have run. Its connection is closed.
     """
--- a/packages/connections/src/dogwoodspool_connections/health.py
+++ b/packages/connections/src/dogwoodspool_connections/health.py
@@ -13,10 +13,10 @@
 class ConnectionHealth:
     """Suspect a server's connections after one of them went silent.
 
-    A connection can go silent for good while new ones work: something between the
-    two ends has lost track of it. It shows only by the missing answer. Whatever
-    silenced one connection has likely silenced others, so every connection whose
-    last answer is older than the silence is checked before its next use.
+    A connection can stop working permanently while new ones work, for example when a
+    device between the two ends has lost its connection state. Only the missing answer
+    shows it. The cause has probably affected other connections too, so every connection
+    whose last answer is older than the silence is checked before its next use.
     """
 
     def __init__(
@@ -29,26 +29,26 @@
         self._silent_at = NEVER
 
     def update_settings(self, settings: PoolSettings) -> None:
-        """Put other times in force."""
+        """Use other timeouts from now on."""
         self._settings = settings
 
     def is_suspected(self, connection: PooledConnection) -> bool:
-        """Tell whether another connection went silent since the last answer."""
+        """Return whether a connection went silent since this one's last answer."""
         with self._lock:
             return connection.answered_at <= self._silent_at
 
-    def note(self, connection: PooledConnection) -> None:
-        """Take in whether a connection went silent."""
+    def record_silence(self, connection: PooledConnection) -> None:
+        """Record the time if a connection went silent."""
         if not connection.went_silent:
             return
         with self._lock:
             self._silent_at = self._clock.now()
 
     def is_usable(self, connection: PooledConnection, deadline: float) -> bool:
-        """Check an idle connection before its use, asking the server if need be.
+        """Check an idle connection before use, with a ping to the server if necessary.
 
-        The check comes before the caller's statement is sent, so the statement
-        can still go to another connection as not run.
+        The check precedes the caller's statement, so after a failed check the statement
+        has not run and can be sent on another connection.
         """
         if connection.has_unexpected_input():
             return False
@@ -63,12 +63,12 @@
             log_event(
                 "backend_connection_silent", server=self._server.name, error=error
             )
-            self.note(connection)
+            self.record_silence(connection)
             return False
         return True
 
     def reset_for_reuse(self, connection: PooledConnection) -> bool:
-        """Leave nothing of one caller for the next; False when that failed."""
+        """Remove one caller's session state; return False if that failed."""
         if not connection.is_open or connection.has_unread_answer:
             return False
         if not connection.needs_reset and not connection.in_transaction:
@@ -76,6 +76,6 @@
         try:
             connection.reset(self._settings.reset_timeout)
         except BackendError:
-            self.note(connection)
+            self.record_silence(connection)
             return False
         return True
--- a/packages/connections/src/dogwoodspool_connections/models.py
+++ b/packages/connections/src/dogwoodspool_connections/models.py
@@ -17,15 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """Times of a connection pool, all in seconds.
+    """Timeouts of a connection pool, all in seconds.
 
     Attributes:
-        connect_timeout: wait for a new connection.
-        check_timeout: wait for the answer of the check before use.
-        check_after_idle: idle time after which a connection is checked.
-        reset_timeout: wait for the reset between two callers.
+        connect_timeout: maximum wait for a new connection.
+        check_timeout: maximum wait for the answer to the check before use.
+        check_after_idle: idle time after which a connection is checked before use.
+        reset_timeout: maximum wait for the reset between two callers.
         idle_expiry: idle time after which a connection is closed.
-        surplus_expiry: the same for one that is not the last; None for no difference.
+        surplus_expiry: the same for a connection that is not the last one of the pool;
+            None to use ``idle_expiry`` for all.
     """
 
     connect_timeout: float = DEFAULT_CONNECT_TIMEOUT
@@ -37,7 +38,7 @@
 
     @classmethod
     def of(cls, settings: EffectiveSettings) -> Self:
-        """Take the times from a group's settings in force."""
+        """Build the pool settings from a group's effective settings."""
         return cls(
             connect_timeout=settings.connect_timeout_ms / MILLISECONDS,
             reset_timeout=settings.probe_timeout_ms / MILLISECONDS,
--- a/packages/connections/src/dogwoodspool_connections/pool.py
+++ b/packages/connections/src/dogwoodspool_connections/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one backend server, shared by the callers of one process."""
+"""Connection pool of one backend server, shared by the callers of one process."""
 
 import threading
 from collections import deque
@@ -17,21 +17,21 @@
 
 
 class ConnectionPool(Generic[ConnectionT]):
-    """Connections to one backend server, never more open than its limit.
+    """A bounded pool of connections to one backend server.
 
-    The limit is this process's share of the server's connections and may change
-    at any time; idle connections above it are closed at once, those in use when
-    they come back. Callers are served in the order in which they came.
+    The limit is this process's share of the server's connections and may change at any
+    time; idle connections above it are closed at once, those in use on release. Callers
+    are served in order of arrival.
 
-    Where the limit is two or more, callers leave one connection to probes, and
-    probes go before callers. Else a server that stands still would hold every
-    connection with a statement that never ends, no probe could ask it, and it would
+    If the limit is two or more, one connection is reserved for probes, and probes are
+    served before callers. Otherwise a server that hangs would occupy every connection
+    with a statement that never ends. No probe could reach the server, and it would
     count as healthy until the statements' deadlines.
 
-    An idle connection is checked before its use when it has been idle for a while
-    or when another connection to the server went silent since its last answer. The
-    first check that fails drops every connection that is suspected: one caller
-    waits for one check, not for one check per silent connection.
+    An idle connection is checked before use if it has been idle for a while or if
+    another connection to the server went silent since its last answer. The first failed
+    check closes all suspected connections, so that a caller waits for one check and not
+    for one check per silent connection.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
 
     @property
     def limit(self) -> int:
-        """Connections that may be open."""
+        """Maximum number of open connections."""
         with self._lock:
             return self._limit
 
@@ -76,13 +76,13 @@
 
     @property
     def in_use(self) -> int:
-        """Connections that callers hold, those being opened included."""
+        """Connections in use, including those being opened or closed."""
         with self._lock:
             return self._in_use
 
     @property
     def open_count(self) -> int:
-        """Connections that are open or being opened."""
+        """Connections that are idle or in use."""
         with self._lock:
             return self._open_count()
 
@@ -96,10 +96,10 @@
     def demand(self) -> int:
         """Connections that would have been used at the peak of the last second.
 
-        Callers and those who waited count, and what they leave to probes.
+        This includes connections in use, waiting callers and the probe reserve.
         """
         with self._lock:
-            self._peak.note(self._in_use + len(self._waiters))
+            self._peak.record(self._in_use + len(self._waiters))
             used = self._peak.value()
             return used + PROBE_RESERVE if used else 0
 
@@ -111,21 +111,22 @@
         is_probe: bool = False,
         rank: Callable[[ConnectionT], int] | None = None,
     ) -> ConnectionT:
-        """Return a connection for one caller; it must be released.
+        """Acquire a connection for one caller, who must release it.
 
         Args:
-            deadline: clock seconds until which the caller waits for its turn.
-            open_by: clock seconds at which connecting and checking end; without it
-                the deadline. A caller whose turn comes late needs some time for
-                them, and one that had none would take the server for unreachable.
-            is_probe: a short question that may take the connection that callers
-                leave, and goes before them.
-            rank: of several idle connections the one with the lowest rank is
-                taken, of equal ones the one used last.
+            deadline: clock seconds until which the caller waits in the queue.
+            open_by: clock seconds by which connecting and checking must end, by default
+                the deadline. A caller that waited until shortly before the deadline
+                still needs time to connect; without it, the server would wrongly be
+                considered unreachable.
+            is_probe: whether this is a probe, which may use the reserved connection and
+                is served before callers.
+            rank: of several idle connections the one with the lowest rank is taken; of
+                equal ones the one used last.
 
         Raises:
-            PoolTimeoutError: no connection came free in time.
-            ConnectFailedError: a new connection was needed and did not come up.
+            PoolTimeoutError: no connection became free in time.
+            ConnectFailedError: a new connection was needed and could not be opened.
         """
         usable_by = deadline if open_by is None else max(deadline, open_by)
         while True:
@@ -135,16 +136,16 @@
             if self._health.is_usable(connection, usable_by):
                 return connection
             if connection.went_silent:
-                self._drop_suspected()
+                self._close_suspected()
             self._close(connection)
 
     def release(self, connection: ConnectionT, *, reuse: bool) -> None:
-        """Take a connection back; without ``reuse`` it is closed.
+        """Return a connection to the pool; without ``reuse`` it is closed.
 
-        A connection on which a statement may have changed the session is reset
-        first, so that nothing of one caller is left for the next.
+        A connection whose session state a statement may have changed is reset first, so
+        that no state of one caller remains for the next.
         """
-        self._health.note(connection)
+        self._health.record_silence(connection)
         is_current = connection.generation == self._generation
         if not reuse or not is_current or not self._health.reset_for_reuse(connection):
             self._close(connection)
@@ -158,7 +159,7 @@
         self.close_expired()
 
     def set_limit(self, limit: int) -> None:
-        """Change how many connections may be open."""
+        """Set the maximum number of open connections."""
         with self._lock:
             self._limit = max(0, limit)
         self.close_expired()
@@ -168,10 +169,10 @@
     def update_settings(
         self, connector: Connector[ConnectionT], settings: PoolSettings
     ) -> None:
-        """Put other settings in force.
+        """Use other settings from now on.
 
-        Connections opened under the old ones are closed: idle ones at once, those
-        in use when they come back.
+        Connections opened with the old settings are closed: idle ones at once, those in
+        use on release.
         """
         with self._lock:
             self._connector = connector
@@ -181,7 +182,7 @@
         self.close_idle()
 
     def unload(self) -> None:
-        """Close idle connections and refuse callers; held ones close on release."""
+        """Close idle connections and refuse callers; those in use close on release."""
         with self._lock:
             self._is_unloaded = True
             closing = list(self._idle)
@@ -193,9 +194,9 @@
             connection.close()
 
     def close_idle(self) -> None:
-        """Close all idle connections; callers may go on to open others."""
+        """Close all idle connections; callers can still open new ones."""
         if not self._idle:
-            return  # Looked at without the lock: most pools of many have none.
+            return  # Checked without the lock: of many pools, most have none.
         with self._lock:
             closing = list(self._idle)
             self._idle.clear()
@@ -206,11 +207,11 @@
     def close_expired(self) -> None:
         """Close idle connections above the limit and those idle for too long.
 
-        The end of a caller's use does so as well; a pool that is not used for a while
-        would keep what its last burst of callers has left.
+        Every release does this as well. It must also be called periodically, because an
+        unused pool would otherwise keep the connections of its last burst of callers.
         """
         if not self._idle:
-            return  # Looked at without the lock: most pools of many have none.
+            return  # Checked without the lock: of many pools, most have none.
         with self._lock:
             closing: list[ConnectionT] = []
             while self._idle and self._is_expired(self._idle[0], len(closing)):
@@ -232,7 +233,7 @@
         is_probe: bool,
         rank: Callable[[ConnectionT], int] | None,
     ) -> ConnectionT | None:
-        """Take an idle connection, or the room for a new one (None)."""
+        """Take an idle connection; return None if the caller may open a new one."""
         waiter = Waiter[ConnectionT](self._lock, is_probe=is_probe)
         waiter.rank = rank
         with self._lock:
@@ -240,7 +241,7 @@
                 self._waiters.appendleft(waiter)
             else:
                 self._waiters.append(waiter)
-            self._peak.note(self._in_use + len(self._waiters))
+            self._peak.record(self._in_use + len(self._waiters))
             self._serve_waiters()
             while not waiter.is_served:
                 remaining = deadline - self._clock.now()
@@ -251,11 +252,15 @@
             if waiter.is_served:
                 return waiter.connection
             if self._is_unloaded:
-                raise PoolClosedError(f"pool of {self._server.name} is unloaded")
-        raise PoolTimeoutError(f"no connection to {self._server.name} came free")
+                raise PoolClosedError(
+                    f"connection pool of {self._server.name} is closed"
+                )
+        raise PoolTimeoutError(
+            f"no connection to {self._server.name} became free in time"
+        )
 
     def _serve_waiters(self) -> None:
-        """Give what is free to the first callers of the queue; lock is held."""
+        """Serve the first waiters of the queue; the lock must be held."""
         while self._waiters and not self._is_unloaded:
             waiter = self._waiters[0]
             callers = self._in_use - self._probing
@@ -281,19 +286,20 @@
         return best
 
     def _open(self, deadline: float, *, is_probe: bool) -> ConnectionT:
-        # The room was counted before, so that no two callers open the last one.
+        # The connection was counted in advance, so that no two callers open the last
+        # one.
         bounded = min(deadline, self._clock.now() + self._settings.connect_timeout)
         generation = self._generation
         try:
             connection = self._connector.connect(self._server, bounded)
         except BaseException:
-            self._give_back_room(is_probe=is_probe)
+            self._release_capacity(is_probe=is_probe)
             raise
         connection.is_probing = is_probe
         connection.generation = generation
         return connection
 
-    def _drop_suspected(self) -> None:
+    def _close_suspected(self) -> None:
         with self._lock:
             closing = [c for c in self._idle if self._health.is_suspected(c)]
             for connection in closing:
@@ -303,7 +309,7 @@
             self._close(connection)
 
     def _is_expired(self, connection: ConnectionT, closing: int) -> bool:
-        """Tell whether an idle connection is to be closed after some others."""
+        """Return whether to close an idle connection, given how many others close."""
         open_count = self._open_count() - closing
         if self._is_unloaded or open_count > self._limit:
             return True
@@ -313,14 +319,14 @@
         return connection.answered_at < self._clock.now() - expiry
 
     def _close(self, connection: ConnectionT) -> None:
-        # The room is given back only after the close, so that the server never
-        # sees one connection more than the limit.
+        # The capacity is released only after the close, so that the server never sees
+        # more connections than the limit.
         try:
             connection.close()
         finally:
-            self._give_back_room(is_probe=connection.is_probing)
+            self._release_capacity(is_probe=connection.is_probing)
 
-    def _give_back_room(self, *, is_probe: bool) -> None:
+    def _release_capacity(self, *, is_probe: bool) -> None:
         with self._lock:
             self._in_use -= 1
             self._probing -= is_probe
--- a/packages/connections/src/dogwoodspool_connections/pooled.py
+++ b/packages/connections/src/dogwoodspool_connections/pooled.py
@@ -1,4 +1,4 @@
-"""What a pool needs of the connections that it holds."""
+"""Interfaces of pooled connections and of the connectors that open them."""
 
 from typing import Protocol, TypeVar
 
@@ -9,9 +9,9 @@
     """One connection to a backend server, used by one caller at a time.
 
     Attributes:
-        answered_at: when the server last gave a complete answer, clock seconds.
-        is_probing: the pool gave it to a probe and not to a caller.
-        generation: the pool's count of settings under which it was opened.
+        answered_at: clock seconds of the server's last complete answer.
+        is_probing: whether it is in use by a probe and not by a caller.
+        generation: number of the pool's settings with which it was opened.
     """
 
     answered_at: float
@@ -20,39 +20,39 @@
 
     @property
     def went_silent(self) -> bool:
-        """Tell whether a wait for the server ended without an answer."""
+        """Return whether a wait for the server ended without an answer."""
         ...
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the connection can carry another statement."""
+        """Return whether the connection can be used for another statement."""
         ...
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether the server's last answer was inside a transaction."""
+        """Return whether the server reported an open transaction in its last answer."""
         ...
 
     @property
     def needs_reset(self) -> bool:
-        """Tell whether something of the last caller must not reach the next."""
+        """Return whether the last caller's session state must be reset before reuse."""
         ...
 
     @property
     def has_unread_answer(self) -> bool:
-        """Tell whether the last statement's answer was not read to its end."""
+        """Return whether the last statement's answer was not read completely."""
         ...
 
     def has_unexpected_input(self) -> bool:
-        """Tell whether an idle connection holds bytes or its end."""
+        """Return whether an idle connection has received bytes or an end of stream."""
         ...
 
     def ping(self, timeout: float) -> None:
-        """Ask for a sign of life; raise ``BackendError`` and close without one."""
+        """Ping the server; without an answer, close and raise ``BackendError``."""
         ...
 
     def reset(self, timeout: float) -> None:
-        """Make the connection fit for another caller, or raise ``BackendError``."""
+        """Reset the session state for another caller or raise ``BackendError``."""
         ...
 
     def close(self) -> None:
@@ -68,10 +68,10 @@
     """Open one connection to a backend server."""
 
     def connect(self, server: BackendServer, deadline: float) -> OpenedT_co:
-        """Return a connection that is logged in, before the clock's deadline.
+        """Return an authenticated connection before the deadline in clock seconds.
 
         Raises:
-            ConnectionLimitError: the server takes no more connections.
-            ConnectFailedError: for every other reason.
+            ConnectionLimitError: the server accepts no more connections.
+            ConnectFailedError: the connection failed for any other reason.
         """
         ...
--- a/packages/connections/src/dogwoodspool_connections/waiter.py
+++ b/packages/connections/src/dogwoodspool_connections/waiter.py
@@ -8,11 +8,13 @@
 
 
 class Waiter(Generic[ConnectionT]):
-    """One caller in a pool's queue, woken with a connection or with room for one.
+    """One caller in a pool's queue.
+
+    It is woken with a connection or with permission to open one.
 
     Args:
         lock: the pool's lock.
-        is_probe: it may take the connection that callers leave.
+        is_probe: whether it may use the connection reserved for probes.
     """
 
     def __init__(self, lock: threading.Lock, *, is_probe: bool) -> None:
@@ -24,5 +26,5 @@
 
     @property
     def is_served(self) -> bool:
-        """Tell whether the wait is over."""
+        """Return whether the wait is over."""
         return self.may_open or self.connection is not None
--- a/tests/connections/test_expiry.py
+++ b/tests/connections/test_expiry.py
@@ -1,4 +1,4 @@
-"""Tests of how many connections idle proxies keep from each other."""
+"""Tests of how many idle connections proxies keep open."""
 
 import heapq
 import random
@@ -64,8 +64,8 @@
 
 
 Pool = ConnectionPool[FakeConnection]
-# Time, a number that makes it unique, the proxy, and the connection that comes free;
-# without one it is an arrival.
+# Time, unique tie-breaker, number of the proxy, and the connection to release; without
+# a connection the event is an arrival.
 Event = tuple[float, int, int, FakeConnection | None]
 
 
@@ -75,7 +75,7 @@
 
 
 class ExpiryTests(unittest.TestCase):
-    """Idle connections are closed, the last one later than the others."""
+    """Idle connections are closed, the last one of a pool later than the others."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -90,26 +90,26 @@
             connection.answered_at = self.clock.now()
             self.pool.release(connection, reuse=True)
 
-    def test_surplus_goes_soon(self) -> None:
+    def test_surplus_connections_are_closed_early(self) -> None:
         self.use(3)
         self.clock.advance(0.2)
         self.use(1)
         self.assertEqual(self.network.open, 1)
 
-    def test_the_last_one_stays(self) -> None:
+    def test_the_last_connection_is_kept(self) -> None:
         self.use(1)
         for _ in range(10):
             self.clock.advance(0.9)
             self.use(1)
         self.assertEqual(self.network.opened, 1)
 
-    def test_what_is_in_use_at_the_same_time_stays(self) -> None:
+    def test_connections_used_at_the_same_time_are_kept(self) -> None:
         for _ in range(100):
             self.use(3)
             self.clock.advance(0.05)
         self.assertEqual(self.network.opened, 3)
 
-    def test_a_lowered_limit_closes_no_more_than_it_must(self) -> None:
+    def test_a_lowered_limit_closes_only_connections_above_it(self) -> None:
         self.use(3)
         self.pool.set_limit(2)
         self.assertEqual(self.network.open, 2)
@@ -117,7 +117,7 @@
 
 @dataclass
 class Load:
-    """Proxies that send one server statements at random."""
+    """Proxies that send statements to one server at random times."""
 
     settings: PoolSettings
     seed: int
@@ -127,20 +127,20 @@
     work: float = 0.014
 
     def samples(self) -> Iterator[int]:
-        """Yield the open connections before each statement of the second half."""
+        """Yield the open connections before each arrival in the second half."""
         rng = random.Random(self.seed)
         clock = ManualClock()
         network = FakeNetwork(clock)
         pools = [pool_of(network, self.settings) for _ in range(self.proxies)]
         events: list[Event] = []
-        looked_at = 0.0
+        checked_at = 0.0
         for number in range(self.proxies):
             self._arrive(events, 0.0, number, rng)
         while events:
             at, _, number, held = heapq.heappop(events)
-            while looked_at + EXPIRY_LOOK_SECONDS < at:
-                looked_at += EXPIRY_LOOK_SECONDS
-                clock.advance(max(0.0, looked_at - clock.now()))
+            while checked_at + EXPIRY_LOOK_SECONDS < at:
+                checked_at += EXPIRY_LOOK_SECONDS
+                clock.advance(max(0.0, checked_at - clock.now()))
                 for pool in pools:
                     pool.close_expired()
             clock.advance(max(0.0, at - clock.now()))
@@ -151,7 +151,7 @@
             if at > self.seconds / 2:
                 yield network.open
             self._arrive(events, at, number, rng)
-            # Several statements come at once, as a page asks for what it shows.
+            # Some requests send several statements at once, as a web page does.
             for _ in range(rng.choice((1, 1, 1, 3))):
                 self._send(events, pools[number], clock.now(), number, rng)
 
@@ -179,25 +179,29 @@
 
 
 class PowerLossTests(unittest.TestCase):
-    """All proxies lose their power; the server counts their connections for seconds.
+    """Guard against refusals after a power loss of all proxies.
 
-    Twelve proxies held up to four connections each, mostly idle, and after their return
-    there was none left for a third of them until the server had noticed. Their callers
-    were refused for a second and a half.
+    After a power loss the server counts the lost connections for some seconds. Twelve
+    proxies held up to four connections each, mostly idle, so that after their restart
+    none was left for a third of them until the server had detected the loss. Their
+    callers were refused for a second and a half.
     """
 
-    def test_most_connections_are_left_for_the_processes_that_return(self) -> None:
+    def test_most_connections_are_left_for_restarted_proxies(self) -> None:
         without = PoolSettings(idle_expiry=IDLE_EXPIRY_SECONDS)
-        taken = PoolSettings(
+        with_surplus = PoolSettings(
             idle_expiry=IDLE_EXPIRY_SECONDS, surplus_expiry=SURPLUS_EXPIRY_SECONDS
         )
         for seed in range(3):
             with self.subTest(seed=seed):
-                kept = list(Load(without, seed).samples())
-                few = list(Load(taken, seed).samples())
-                left = SERVER.connections - sum(few) / len(few)
-                left_without = SERVER.connections - sum(kept) / len(kept)
-                # One for each of half of the proxies, the others' callers go there.
-                proxies = Load(taken, seed).proxies
+                open_without = list(Load(without, seed).samples())
+                open_with = list(Load(with_surplus, seed).samples())
+                left = SERVER.connections - sum(open_with) / len(open_with)
+                left_without = SERVER.connections - sum(open_without) / len(
+                    open_without
+                )
+                # One connection for each of half of the proxies is enough, because
+                # callers of the other proxies use these.
+                proxies = Load(with_surplus, seed).proxies
                 self.assertGreater(left, 0.5 * proxies)
                 self.assertLess(left_without, 0.25 * proxies)
