--- a/packages/limits/src/dogwoodspool_limits/statement_queue.py
+++ b/packages/limits/src/dogwoodspool_limits/statement_queue.py
@@ -205,7 +205,7 @@
         return max(remaining - bound, remaining / 2)
 
     def _has_room(self, priority: int) -> bool:
-        """Tell whether one more statement of a priority may be in flight.
+        """Return whether one more statement of a priority may be in flight.
 
         Where many processes share a server's slots, the limit may be 1. Without an
         admission above the limit, an urgent statement would then wait for one of a
