--- a/packages/proxy/src/dogwoodspool_proxy/acks.py
+++ b/packages/proxy/src/dogwoodspool_proxy/acks.py
@@ -169,7 +169,7 @@
             target, ACK_WAIT_SLICE_SECONDS, ACK_WAIT_SLICE_SECONDS + answer_timeout
         )
         # Lets the router send the writer's next read to this replica.
-        self._table.note_status(status, asked_at)
+        self._table.record_status(status, asked_at)
         with self._changed:
             self._confirmed = status.position
             self._changed.notify_all()
--- a/packages/proxy/src/dogwoodspool_proxy/backends.py
+++ b/packages/proxy/src/dogwoodspool_proxy/backends.py
@@ -145,7 +145,7 @@
         log_event("backend_failed", level="DEBUG", server=server.name, error=error)
         if isinstance(error, ConnectFailedError) and error.suggests_unreachable:
             is_down = isinstance(error, ServerDownError)
-            self._table.note_failure(server.name, is_down=is_down)
+            self._table.record_failure(server.name, is_down=is_down)
         self._probe_now(server.name)
 
     def _build(self, server: BackendServer) -> Backend:
@@ -191,7 +191,7 @@
             after.admission.set_queue_limit(settings.queue_limit)
             if _connects_differently(before.settings, settings):
                 connector = self._connector(settings)
-                after.pool.change(connector, PoolSettings.of(settings))
+                after.pool.update_settings(connector, PoolSettings.of(settings))
         self._set_limits(list(self._backends.values()))
 
     def _with_current_settings(self, name: str, backend: Backend) -> Backend:
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -251,7 +251,7 @@
     def _is_satisfied(
         self, status: ServerStatus, need: ReadNeed, state: GroupState, asked_at: float
     ) -> bool:
-        self._table.note_status(status, asked_at)
+        self._table.record_status(status, asked_at)
         unconfirmed = self._grants.unconfirmed_seconds(state.name, state.term)
         elapsed = self._clock.now() - asked_at + unconfirmed
         return satisfies(status, need, state, elapsed * MILLISECONDS)
@@ -294,7 +294,7 @@
             log_event("read_moved", level="DEBUG", server=name, error=error)
             self._access.report_failure(held.server, error)
             return TryNextServer(name, unknown(f"{name} did not answer"), is_retry=True)
-        self._budget.note_served()
+        self._budget.record_served()
         return rows_answer(held, result)
 
 
--- a/packages/proxy/src/dogwoodspool_proxy/routers.py
+++ b/packages/proxy/src/dogwoodspool_proxy/routers.py
@@ -23,6 +23,6 @@
             if router is None:
                 router = ReadRouter(self._table, current)
             elif settings != current:
-                router.change(current)
+                router.update_settings(current)
             self._routers[group] = current, router
             return router
