--- a/packages/emulator/src/dogwoodspool_emulator/proxies.py
+++ b/packages/emulator/src/dogwoodspool_emulator/proxies.py
@@ -20,7 +20,6 @@
     Ticket,
     TicketState,
 )
-from dogwoodspool_pooler.behind import BehindBook
 from dogwoodspool_pooler.ceiling import ConnectionCeiling
 from dogwoodspool_pooler.const import (
     BUSY_RETRY_SECONDS,
@@ -32,6 +31,7 @@
     WAIT_SHARE,
 )
 from dogwoodspool_pooler.freshness import FreshnessBook
+from dogwoodspool_pooler.lag import LagTracker
 from dogwoodspool_pooler.placement import rank_for_read
 from dogwoodspool_pooler.registry import POOL_SETTINGS
 from dogwoodspool_routing import ServerTable
@@ -181,7 +181,7 @@
         self._table = ServerTable(timeline.clock)
         self._table.adopt_committed(one.described for one in servers)
         self._freshness = FreshnessBook(timeline.clock)
-        self._behind = BehindBook(timeline.clock)
+        self._behind = LagTracker(timeline.clock)
         self._backends: dict[str, Backend] = {}
 
     def serve(self, attempt: Attempt, ended: Ended) -> None:
@@ -190,7 +190,7 @@
         if floor is None:
             self._serve_on_primary(attempt, ended)
         else:
-            behind = self._behind.behind(floor)
+            behind = self._behind.lagging(floor)
             self._serve_read(attempt, floor, behind, ended)
 
     def close_expired(self) -> None:
@@ -352,9 +352,9 @@
     def _note_floor(self, run: _Run, answer: Answer) -> None:
         name = run.backend.server.described.name
         if answer is Answer.BEHIND and run.floor is not None:
-            self._behind.note_behind(name, run.floor)
+            self._behind.record_lagging(name, run.floor)
         elif run.floor is not None:
-            self._behind.note_answer(name)
+            self._behind.record_caught_up(name)
 
     def _go_on(
         self, run: _Run, connection: Connection, left: int, answer: Answer
--- a/packages/pooler/src/dogwoodspool_pooler/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/access.py
@@ -20,7 +20,6 @@
 from dogwoodspool_limits import AdmissionOutcome
 from dogwoodspool_routing import ServerTable
 
-from .behind import BehindBook
 from .connection import ServerConnection
 from .const import (
     CONNECTION_RETRY_SECONDS,
@@ -30,6 +29,7 @@
 from .errors import NotFreshError, NotServedError
 from .freshness import FreshnessBook
 from .held import HeldConnection, ReadBound
+from .lag import LagTracker
 from .models import (
     ErrorCode,
     Reply,
@@ -57,7 +57,7 @@
         table: ServerTable,
         stalls: StallBook,
         freshness: FreshnessBook,
-        behind: BehindBook,
+        behind: LagTracker,
         suspect: Callable[[str], None],
         clock: Clock,
     ) -> None:
@@ -112,7 +112,7 @@
 
     def behind(self, floor: Position) -> set[str]:
         """Return the servers that need not be asked for a position now."""
-        return self._behind.behind(floor)
+        return self._behind.lagging(floor)
 
     def floor(self, group: str, bound: ReadBound) -> Position:
         """Return the position that a server must have; raise ``NotFreshError``."""
@@ -166,9 +166,9 @@
 
     def _note_floor(self, server: str, floor: Position, reply: Reply) -> None:
         if reply.error is None:
-            self._behind.note_answer(server)
+            self._behind.record_caught_up(server)
         elif reply.error.code is ErrorCode.BEHIND:
-            self._behind.note_behind(server, floor)
+            self._behind.record_lagging(server, floor)
             log_rate_limited(
                 "server_behind",
                 server=server,
--- a/packages/pooler/src/dogwoodspool_pooler/behind.py
+++ b/packages/pooler/src/dogwoodspool_pooler/lag.py
@@ -15,7 +15,7 @@
     ask_at: float
 
 
-class BehindBook:
+class LagTracker:
     """Remember servers that are behind, so that reads do not ask them in vain.
 
     The load pattern that it answers: replicas fall behind for seconds, and every read
@@ -28,7 +28,7 @@
         self._lock = threading.Lock()
         self._refusals: dict[str, _Refusal] = {}
 
-    def note_behind(self, server: str, floor: Position) -> None:
+    def record_lagging(self, server: str, floor: Position) -> None:
         """Take in that a server lacked a position."""
         now = self._clock.now()
         with self._lock:
@@ -42,13 +42,13 @@
             pause = min(pause, MAX_BEHIND_LOOK_SECONDS)
             self._refusals[server] = _Refusal(floor, pause, now + pause)
 
-    def note_answer(self, server: str) -> None:
+    def record_caught_up(self, server: str) -> None:
         """Take in that a server had what a read needed."""
         if server in self._refusals:
             with self._lock:
                 self._refusals.pop(server, None)
 
-    def behind(self, floor: Position) -> set[str]:
+    def lagging(self, floor: Position) -> set[str]:
         """Return the servers that need not be asked for a position now."""
         now = self._clock.now()
         with self._lock:
--- a/packages/pooler/src/dogwoodspool_pooler/runtime.py
+++ b/packages/pooler/src/dogwoodspool_pooler/runtime.py
@@ -16,13 +16,13 @@
 from dogwoodspool_sharing import Neighbour
 
 from .access import ServerAccess
-from .behind import BehindBook
 from .connection import ServerConnection
 from .const import WATCH_WAIT_MS
 from .expiry import ConnectionExpiry
 from .freshness import FreshnessBook
 from .held import ConnectionAccess, HeldConnection
 from .known_primaries import KnownPrimaries
+from .lag import LagTracker
 from .primaries import PrimaryPath
 from .read_placement import ReadPlacement
 from .reads import ReadPath
@@ -74,7 +74,7 @@
             self._table,
             stalls,
             freshness,
-            BehindBook(clock),
+            LagTracker(clock),
             self._suspect,
             clock,
         )
--- a/tests/pooler/fakes.py
+++ b/tests/pooler/fakes.py
@@ -42,10 +42,10 @@
     TransactionState,
 )
 from dogwoodspool_pooler.access import ServerAccess
-from dogwoodspool_pooler.behind import BehindBook
 from dogwoodspool_pooler.freshness import FreshnessBook
 from dogwoodspool_pooler.held import ConnectionAccess, HeldConnection
 from dogwoodspool_pooler.known_primaries import KnownPrimaries
+from dogwoodspool_pooler.lag import LagTracker
 from dogwoodspool_pooler.primaries import PrimaryPath
 from dogwoodspool_pooler.read_placement import ReadPlacement
 from dogwoodspool_pooler.reads import ReadPath
@@ -323,7 +323,7 @@
             self.table,
             self.stalls,
             self.freshness,
-            BehindBook(self.clock),
+            LagTracker(self.clock),
             self.suspected.append,
             self.clock,
         )
