--- a/packages/emulator/src/dogwoodspool_emulator/proxies.py
+++ b/packages/emulator/src/dogwoodspool_emulator/proxies.py
@@ -30,7 +30,7 @@
     QUEUE_LIMIT,
     WAIT_SHARE,
 )
-from dogwoodspool_pooler.freshness import FreshnessBook
+from dogwoodspool_pooler.freshness import FreshnessTracker
 from dogwoodspool_pooler.lag import LagTracker
 from dogwoodspool_pooler.placement import rank_for_read
 from dogwoodspool_pooler.registry import POOL_SETTINGS
@@ -180,7 +180,7 @@
         }
         self._table = ServerTable(timeline.clock)
         self._table.adopt_committed(one.described for one in servers)
-        self._freshness = FreshnessBook(timeline.clock)
+        self._freshness = FreshnessTracker(timeline.clock)
         self._behind = LagTracker(timeline.clock)
         self._backends: dict[str, Backend] = {}
 
@@ -202,7 +202,7 @@
         age_ms = attempt.kind.max_age_ms
         if attempt.writes or attempt.is_transaction or age_ms is None:
             return None
-        return self._freshness.floor(attempt.group, age_ms / MILLISECONDS)
+        return self._freshness.min_position(attempt.group, age_ms / MILLISECONDS)
 
     def _serve_on_primary(self, attempt: Attempt, ended: Ended) -> None:
         primary = self._primaries[attempt.group]
@@ -214,7 +214,7 @@
             elif result.ok is Answer.OK:
                 if attempt.writes:
                     primary.commit()
-                self._freshness.note(attempt.group, primary.position, asked_at)
+                self._freshness.record(attempt.group, primary.position, asked_at)
                 ended(Ok(None))
             else:
                 ended(Error(self._full(primary)))
--- a/packages/pooler/src/dogwoodspool_pooler/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/access.py
@@ -27,7 +27,7 @@
     SESSION_ORDER_TIMEOUT,
 )
 from .errors import NotFreshError, NotServedError
-from .freshness import FreshnessBook
+from .freshness import FreshnessTracker
 from .held import HeldConnection, ReadBound
 from .lag import LagTracker
 from .models import (
@@ -56,7 +56,7 @@
         registry: BackendRegistry,
         table: ServerTable,
         stalls: StallBook,
-        freshness: FreshnessBook,
+        freshness: FreshnessTracker,
         behind: LagTracker,
         suspect: Callable[[str], None],
         clock: Clock,
@@ -108,7 +108,7 @@
 
     def may_be_fresh(self, group: str, bound: ReadBound) -> bool:
         """Tell whether a position is known that meets a bound."""
-        return self._freshness.floor(group, bound.max_age) is not None
+        return self._freshness.min_position(group, bound.max_age) is not None
 
     def behind(self, floor: Position) -> set[str]:
         """Return the servers that need not be asked for a position now."""
@@ -116,7 +116,7 @@
 
     def floor(self, group: str, bound: ReadBound) -> Position:
         """Return the position that a server must have; raise ``NotFreshError``."""
-        floor = self._freshness.floor(group, bound.max_age)
+        floor = self._freshness.min_position(group, bound.max_age)
         if floor is None:
             raise NotFreshError(f"no position of {group} is known that is young enough")
         return floor if bound.at_least is None else max(floor, bound.at_least)
@@ -194,7 +194,7 @@
         self, server: BackendServer, position: Position | None, asked_at: float
     ) -> None:
         """Take in how far a primary was that surely held its place."""
-        self._freshness.note(server.group, position, asked_at)
+        self._freshness.record(server.group, position, asked_at)
 
     def note_unreachable(self, server: BackendServer, error: BackendError) -> None:
         """Note that no connection came up, which counts against the server."""
--- a/packages/pooler/src/dogwoodspool_pooler/freshness.py
+++ b/packages/pooler/src/dogwoodspool_pooler/freshness.py
@@ -8,7 +8,7 @@
 from .const import MARK_LIFE_SECONDS, MARK_SPACING_SECONDS
 
 
-class FreshnessBook:
+class FreshnessTracker:
     """Remember how far each group's primary was, and when it was asked.
 
     A primary that answers a write or an open transaction holds its place at that
@@ -22,7 +22,7 @@
         self._lock = threading.Lock()
         self._marks: dict[str, deque[tuple[float, Position]]] = {}
 
-    def note(self, group: str, position: Position | None, asked_at: float) -> None:
+    def record(self, group: str, position: Position | None, asked_at: float) -> None:
         """Take in an answer of a primary that surely held its place.
 
         Args:
@@ -41,7 +41,7 @@
             while marks[0][0] < oldest:
                 marks.popleft()
 
-    def floor(self, group: str, max_age: float) -> Position | None:
+    def min_position(self, group: str, max_age: float) -> Position | None:
         """Return the lowest position that covers commits older than an age.
 
         The lowest is what most replicas have. None where nothing recent enough is
--- a/packages/pooler/src/dogwoodspool_pooler/runtime.py
+++ b/packages/pooler/src/dogwoodspool_pooler/runtime.py
@@ -19,7 +19,7 @@
 from .connection import ServerConnection
 from .const import WATCH_WAIT_MS
 from .expiry import ConnectionExpiry
-from .freshness import FreshnessBook
+from .freshness import FreshnessTracker
 from .held import ConnectionAccess, HeldConnection
 from .known_primaries import KnownPrimaries
 from .lag import LagTracker
@@ -68,7 +68,7 @@
         self._registry = BackendRegistry(self._views, connector, clock)
         self._counters = Counters()
         self._recovery = RecoveryProber(self._views, self._registry, self._table, clock)
-        stalls, freshness = StallBook(clock), FreshnessBook(clock)
+        stalls, freshness = StallBook(clock), FreshnessTracker(clock)
         access = ServerAccess(
             self._registry,
             self._table,
--- a/tests/pooler/fakes.py
+++ b/tests/pooler/fakes.py
@@ -42,7 +42,7 @@
     TransactionState,
 )
 from dogwoodspool_pooler.access import ServerAccess
-from dogwoodspool_pooler.freshness import FreshnessBook
+from dogwoodspool_pooler.freshness import FreshnessTracker
 from dogwoodspool_pooler.held import ConnectionAccess, HeldConnection
 from dogwoodspool_pooler.known_primaries import KnownPrimaries
 from dogwoodspool_pooler.lag import LagTracker
@@ -315,7 +315,10 @@
         self.views = ViewStore(OWN_DOMAIN, self.clock)
         self.table = ServerTable(self.clock)
         self.suspected: list[str] = []
-        self.stalls, self.freshness = StallBook(self.clock), FreshnessBook(self.clock)
+        self.stalls, self.freshness = (
+            StallBook(self.clock),
+            FreshnessTracker(self.clock),
+        )
         self.registry = BackendRegistry(self.views, self.network, self.clock)
         self.registry.set_up()
         access = ServerAccess(
--- a/tests/pooler/test_reads.py
+++ b/tests/pooler/test_reads.py
@@ -114,7 +114,7 @@
         pooler.network.servers["s1"].has_lost_lead = True
         self.assertIsNone(say(session, "COMMIT").error)
         pooler.clock.advance(1.4)
-        self.assertIsNone(pooler.freshness.floor("chat", 1.5))
+        self.assertIsNone(pooler.freshness.min_position("chat", 1.5))
 
     def test_a_replica_that_is_behind_is_passed_over(self) -> None:
         pooler = Pooler(group(), BOUNDED)
