--- a/packages/emulator/src/dogwoodspool_emulator/proxies.py
+++ b/packages/emulator/src/dogwoodspool_emulator/proxies.py
@@ -297,7 +297,7 @@
             backend.queue.end(ticket, 0.0, AdmissionOutcome.NO_WORK)
             run.ended(Error(refused))
         except ConnectionLimitError:
-            backend.ceiling.note_refused(backend.pool.open_count)
+            backend.ceiling.record_connection_refused(backend.pool.open_count)
             backend.adjust()
             remaining = run.start_by - self._timeline.now()
             if remaining <= 0 or run.has_alternatives:
--- a/packages/pooler/src/dogwoodspool_pooler/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/access.py
@@ -226,7 +226,7 @@
                 raise NotServedError(_no_connection(backend)) from error
             except ConnectionLimitError as error:
                 # Others hold the rest at present; one of ours may come free.
-                backend.ceiling.note_refused(backend.pool.open_count)
+                backend.ceiling.record_connection_refused(backend.pool.open_count)
                 backend.adjust()
                 log_rate_limited(
                     "connections_exhausted",
--- a/packages/pooler/src/dogwoodspool_pooler/ceiling.py
+++ b/packages/pooler/src/dogwoodspool_pooler/ceiling.py
@@ -44,7 +44,7 @@
         first_steps = int((now - self._started_at) / START_STEP_SECONDS)
         return min(self._ceiling, FIRST_CONNECTIONS + first_steps)
 
-    def note_refused(self, open_count: int) -> None:
+    def record_connection_refused(self, open_count: int) -> None:
         """Take in that the server refused one connection more."""
         self._ceiling = max(1, min(self._highest, open_count))
         self._changed_at = self._clock.now()
--- a/tests/pooler/shared/test_connection_load.py
+++ b/tests/pooler/shared/test_connection_load.py
@@ -95,7 +95,9 @@
             try:
                 connection = self.pool(holder).acquire(at)
             except ConnectionLimitError:
-                self.ceilings[holder].note_refused(self.pools[holder].open_count)
+                self.ceilings[holder].record_connection_refused(
+                    self.pools[holder].open_count
+                )
                 self.outcome.refused += 1
                 continue
             except PoolTimeoutError:
--- a/tests/pooler/test_placement.py
+++ b/tests/pooler/test_placement.py
@@ -72,7 +72,7 @@
         clock = ManualClock(10.0)
         ceiling = ConnectionCeiling(clock, 6, 0.0)
         self.assertEqual(ceiling.value(), 6)
-        ceiling.note_refused(2)
+        ceiling.record_connection_refused(2)
         self.assertEqual(ceiling.value(), 2)
         clock.advance(2.5)
         self.assertEqual(ceiling.value(), 4)
@@ -81,5 +81,5 @@
 
     def test_one_connection_is_always_tried(self) -> None:
         ceiling = ConnectionCeiling(ManualClock(10.0), 6, 0.0)
-        ceiling.note_refused(0)
+        ceiling.record_connection_refused(0)
         self.assertEqual(ceiling.value(), 1)
