--- a/packages/pooler/src/dogwoodspool_pooler/const.py
+++ b/packages/pooler/src/dogwoodspool_pooler/const.py
@@ -60,7 +60,7 @@
 SURPLUS_EXPIRY_SECONDS: Final = 0.12
 # Time between two looks for such connections in pools that nobody uses: short, so that
 # bursts leave little behind.
-EXPIRY_LOOK_SECONDS: Final = 0.15
+EXPIRY_CHECK_SECONDS: Final = 0.15
 CONNECT_TIMEOUT: Final = 0.5
 CHECK_TIMEOUT: Final = 0.25
 # Idle time after which a connection is asked for a sign of life before its use: it
--- a/packages/pooler/src/dogwoodspool_pooler/expiry.py
+++ b/packages/pooler/src/dogwoodspool_pooler/expiry.py
@@ -5,7 +5,7 @@
 from dogwoodspool_common import Clock
 from dogwoodspool_following import Coordinator
 
-from .const import EXPIRY_LOOK_SECONDS
+from .const import EXPIRY_CHECK_SECONDS
 from .registry import BackendRegistry
 
 
@@ -34,4 +34,4 @@
                 backend.pool.close_idle()
             else:
                 backend.pool.close_expired()
-        return EXPIRY_LOOK_SECONDS
+        return EXPIRY_CHECK_SECONDS
--- a/tests/connections/test_expiry.py
+++ b/tests/connections/test_expiry.py
@@ -9,7 +9,7 @@
 from dogwoodspool_common import Address, BackendServer, ManualClock
 from dogwoodspool_connections import ConnectionPool, PoolSettings, PoolTimeoutError
 from dogwoodspool_pooler.const import (
-    EXPIRY_LOOK_SECONDS,
+    EXPIRY_CHECK_SECONDS,
     IDLE_EXPIRY_SECONDS,
     SURPLUS_EXPIRY_SECONDS,
 )
@@ -138,8 +138,8 @@
             self._arrive(events, 0.0, number, rng)
         while events:
             at, _, number, held = heapq.heappop(events)
-            while looked_at + EXPIRY_LOOK_SECONDS < at:
-                looked_at += EXPIRY_LOOK_SECONDS
+            while looked_at + EXPIRY_CHECK_SECONDS < at:
+                looked_at += EXPIRY_CHECK_SECONDS
                 clock.advance(max(0.0, looked_at - clock.now()))
                 for pool in pools:
                     pool.close_expired()
