--- a/packages/pooler/src/dogwoodspool_pooler/session_state.py
+++ b/packages/pooler/src/dogwoodspool_pooler/session_state.py
@@ -26,7 +26,7 @@
     values: dict[str, str] = field(default_factory=dict)
     prepared: set[Prepared] = field(default_factory=set)
 
-    def note(self, statement: Statement) -> None:
+    def record(self, statement: Statement) -> None:
         """Take in a statement that the server has carried out."""
         match statement.kind:
             case StatementKind.SET:
--- a/tests/pooler/fakes.py
+++ b/tests/pooler/fakes.py
@@ -184,7 +184,7 @@
         error = self._refusal(statement)
         if error is None:
             self._apply(statement)
-            self.session.note(statement)
+            self.session.record(statement)
         position = fake.position
         proof = "" if error else f"{fake.name}:{statement.request_id}"
         rows = () if error else ("row",)
