--- a/tests/pooler/fakes.py
+++ b/tests/pooler/fakes.py
@@ -265,7 +265,7 @@
 UP_FOR_SECONDS = 10.0
 
 
-class ImpatientClock(ManualClock):
+class AutoAdvanceClock(ManualClock):
     """A clock on which every wait runs out at once, as nobody else does anything."""
 
     def sleep(self, seconds: float) -> None:
@@ -310,7 +310,7 @@
     def __init__(
         self, servers: Sequence[FakeServer], promised: Endpoint | None = None
     ) -> None:
-        self.clock = ImpatientClock()
+        self.clock = AutoAdvanceClock()
         self.network = FakeNetwork(servers, self.clock)
         self.views = ViewStore(OWN_DOMAIN, self.clock)
         self.table = ServerTable(self.clock)
--- a/tests/proxy/test_access.py
+++ b/tests/proxy/test_access.py
@@ -10,7 +10,7 @@
 from dogwoodspool_proxy.backends import BackendRegistry
 from dogwoodspool_routing import ServerTable
 
-from ..pooler.fakes import ImpatientClock
+from ..pooler.fakes import AutoAdvanceClock
 
 SERVER = BackendServer("s1", "orders", "fd-a", Address("127.0.0.1", 1), 3, 20)
 WAIT_SECONDS = 0.1
@@ -20,7 +20,7 @@
     """A proxy that holds no share of a server's connections."""
 
     def setUp(self) -> None:
-        self.clock = ImpatientClock()
+        self.clock = AutoAdvanceClock()
         views = ViewStore("fd-a", self.clock)
         table = ServerTable(self.clock)
         self.registry = BackendRegistry(
