--- a/packages/pooler/src/dogwoodspool_pooler/__init__.py
+++ b/packages/pooler/src/dogwoodspool_pooler/__init__.py
@@ -1,7 +1,8 @@
 """Pool transactions over connections to groups that replicate synchronously.
 
-The parts that serve callers are in ``runtime`` and ``session``: who only asks servers,
-such as a control process, does not load them (5 % of its start's instructions).
+The parts that serve callers are in ``runtime`` and ``session`` and are not imported
+here: a process that only queries servers, such as a control process, would otherwise
+spend 5 % of the instructions of its start on loading them.
 """
 
 from .connection import ServerConnection
--- a/packages/pooler/src/dogwoodspool_pooler/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/access.py
@@ -1,4 +1,4 @@
-"""A place on a backend server and a connection to it, for one request."""
+"""Admission to a backend server and a connection to it, for one request."""
 
 from collections.abc import Callable, Iterator, Sequence
 from contextlib import contextmanager
@@ -23,13 +23,14 @@
 from .connection import ServerConnection
 from .const import (
     CONNECTION_RETRY_SECONDS,
+    INTERNAL_STATEMENT_TIMEOUT,
     NO_CONNECTION_RETRY_MS,
-    SESSION_ORDER_TIMEOUT,
 )
 from .errors import NotFreshError, NotServedError
 from .freshness import FreshnessTracker
 from .held import HeldConnection, ReadBound
 from .lag import LagTracker
+from .local_connection import LocalHeldConnection
 from .models import (
     ErrorCode,
     Reply,
@@ -37,27 +38,27 @@
     StatementError,
     StatementKind,
 )
-from .pooled_hold import PooledHold
 from .registry import Backend, BackendRegistry
-from .requests import PlaceRequest, Request
+from .requests import AdmissionRequest, Request
 from .server_work import ServerWork
-from .session_state import carry_over_cost
-from .stalls import StallBook
+from .session_state import sync_cost
+from .stalls import StallTracker
 
 
 class ServerAccess:
-    """Give requests places and connections of this process; see ``ConnectionAccess``.
+    """Admit requests and lend them this process's connections.
 
-    It learns from how the requests end.
+    Implements ``ConnectionAccess``. The outcome of each request updates what is known
+    of the server: its latency, failures, stalled writes and log position.
     """
 
     def __init__(
         self,
         registry: BackendRegistry,
         table: ServerTable,
-        stalls: StallBook,
+        stalls: StallTracker,
         freshness: FreshnessTracker,
-        behind: LagTracker,
+        lag: LagTracker,
         suspect: Callable[[str], None],
         clock: Clock,
     ) -> None:
@@ -66,7 +67,7 @@
         self._table = table
         self._stalls = stalls
         self._freshness = freshness
-        self._behind = behind
+        self._lag = lag
         self._clock = clock
 
     def open(
@@ -75,62 +76,77 @@
         request: Request,
         *,
         has_alternatives: bool = False,
-    ) -> PooledHold:
-        """Wait for a place and a connection; see ``ConnectionAccess``."""
-        return self.open_here(server, request.place(has_alternatives=has_alternatives))
+    ) -> LocalHeldConnection:
+        """Wait for admission and a connection; see ``ConnectionAccess``."""
+        return self.open_local(
+            server, request.admission_request(has_alternatives=has_alternatives)
+        )
 
-    def open_here(self, server: BackendServer, place: PlaceRequest) -> PooledHold:
-        """Wait for a place and a connection, as long as the request may wait.
+    def open_local(
+        self, server: BackendServer, admission_request: AdmissionRequest
+    ) -> LocalHeldConnection:
+        """Wait for admission and a connection, as long as the request may wait.
 
-        A place and a connection that are free are taken also when that time is over.
-        Errors as for ``open``.
+        A free slot and a free connection are taken even after that time has passed.
+        Raises the same errors as ``open``.
         """
         backend = self._registry.backend(server)
         backend.adjust()
-        start_by = max(place.start_by, self._clock.now())
+        start_by = max(admission_request.start_by, self._clock.now())
         with span("admission.wait", server=server.name):
-            admitted = backend.admission.admit(start_by, place.priority)
+            admitted = backend.admission.admit(start_by, admission_request.priority)
         if admitted.is_error():
             refusal = admitted.error
-            message = f"{server.name}: {refusal.reason}"
+            message = f"{server.name} did not admit the statement: {refusal.reason}"
             raise NotServedError(
                 StatementError(ErrorCode.BUSY, message, refusal.retry_after_ms)
             )
         try:
-            connection = self._connect(backend, place, start_by)
+            connection = self._connect(backend, admission_request, start_by)
         except NotServedError:
             admitted.ok.done(0.0, AdmissionOutcome.NO_WORK)
             raise
         except ConnectFailedError:
             admitted.ok.done(0.0, AdmissionOutcome.UNANSWERED)
             raise
-        return PooledHold(backend, connection, admitted.ok, self)
+        return LocalHeldConnection(backend, connection, admitted.ok, self)
 
-    def may_be_fresh(self, group: str, bound: ReadBound) -> bool:
-        """Tell whether a position is known that meets a bound."""
+    def can_satisfy(self, group: str, bound: ReadBound) -> bool:
+        """Return whether a position is known that satisfies a bound."""
         return self._freshness.min_position(group, bound.max_age) is not None
 
-    def behind(self, floor: Position) -> set[str]:
-        """Return the servers that need not be asked for a position now."""
-        return self._behind.lagging(floor)
+    def lagging(self, min_position: Position) -> set[str]:
+        """Return the servers that are not to be tried for a position at present."""
+        return self._lag.lagging(min_position)
 
-    def floor(self, group: str, bound: ReadBound) -> Position:
-        """Return the position that a server must have; raise ``NotFreshError``."""
-        floor = self._freshness.min_position(group, bound.max_age)
-        if floor is None:
-            raise NotFreshError(f"no position of {group} is known that is young enough")
-        return floor if bound.at_least is None else max(floor, bound.at_least)
+    def min_position(self, group: str, bound: ReadBound) -> Position:
+        """Return the position that a server must have reached.
+
+        Raises:
+            NotFreshError: no position is known that satisfies the bound.
+        """
+        min_position = self._freshness.min_position(group, bound.max_age)
+        if min_position is None:
+            raise NotFreshError(
+                f"no position of {group} is known from the last {bound.max_age} s"
+            )
+        return (
+            min_position
+            if bound.at_least is None
+            else max(min_position, bound.at_least)
+        )
 
     def begin_on_primary(self, held: HeldConnection, request: Request) -> Reply:
-        """Begin a transaction, which only a server that leads does; errors as for run.
+        """Begin a read-write transaction, which only the acting primary accepts.
 
-        The answer shows how far the primary surely was when it was asked.
+        The position in the reply is one that the primary had certainly reached when it
+        was asked. Raises the same errors as ``HeldConnection.run``.
         """
         asked_at = self._clock.now()
-        order_by = min(request.deadline, asked_at + SESSION_ORDER_TIMEOUT)
-        reply = held.order(Statement(StatementKind.BEGIN), order_by)
+        reply_by = min(request.deadline, asked_at + INTERNAL_STATEMENT_TIMEOUT)
+        reply = held.run_internal(Statement(StatementKind.BEGIN), reply_by)
         if reply.error is None:
-            self.note_fresh(held.server, reply.position, asked_at)
+            self.record_freshness(held.server, reply.position, asked_at)
         return reply
 
     def now(self) -> float:
@@ -144,41 +160,44 @@
         statements: Sequence[Statement],
         deadline: float,
     ) -> list[Reply]:
-        """Send statements and take in what the answers tell of the server."""
+        """Send statements and record what the replies show of the server."""
         name = server.name
         write = self._stalls.begin(name) if _may_write(statements) else None
         is_answered = False
         try:
-            with self.observed(server) as work, span("server.statement", server=name):
+            with (
+                self.count_in_flight(server) as work,
+                span("server.statement", server=name),
+            ):
                 replies = connection.exchange(statements, deadline)
-                work.note(statements, replies)
+                work.record(statements, replies)
             is_answered = True
         except BackendError as error:
-            self.note_trouble(server, error)
+            self.record_no_answer(server, error)
             raise
         finally:
             if write is not None:
                 self._stalls.end(name, write, is_answered=is_answered)
         for statement, reply in zip(statements, replies, strict=True):
             if statement.wait_for is not None:
-                self._note_floor(name, statement.wait_for, reply)
+                self._record_lag(name, statement.wait_for, reply)
         return replies
 
-    def _note_floor(self, server: str, floor: Position, reply: Reply) -> None:
+    def _record_lag(self, server: str, min_position: Position, reply: Reply) -> None:
         if reply.error is None:
-            self._behind.record_caught_up(server)
+            self._lag.record_caught_up(server)
         elif reply.error.code is ErrorCode.BEHIND:
-            self._behind.record_lagging(server, floor)
+            self._lag.record_lagging(server, min_position)
             log_rate_limited(
                 "server_behind",
                 server=server,
-                floor=_shown(floor),
-                position=_shown(reply.position),
+                floor=_position_text(min_position),
+                position=_position_text(reply.position),
             )
 
     @contextmanager
-    def observed(self, server: BackendServer) -> Iterator[ServerWork]:
-        """Count a statement as in flight; what ends without error was answered."""
+    def count_in_flight(self, server: BackendServer) -> Iterator[ServerWork]:
+        """Count a statement as in flight; an end without an error is an answer."""
         began_at = self._clock.now()
         work = ServerWork()
         is_answered = False
@@ -190,42 +209,45 @@
             latency = self._clock.now() - began_at if work.was_done else None
             self._table.end(server.name, latency, is_answered=is_answered)
 
-    def note_fresh(
+    def record_freshness(
         self, server: BackendServer, position: Position | None, asked_at: float
     ) -> None:
-        """Take in how far a primary was that surely held its place."""
+        """Record a log position of a server that was certainly the primary then."""
         self._freshness.record(server.group, position, asked_at)
 
-    def note_unreachable(self, server: BackendServer, error: BackendError) -> None:
-        """Note that no connection came up, which counts against the server."""
+    def record_unreachable(self, server: BackendServer, error: BackendError) -> None:
+        """Record a failed connection attempt, which counts against the server."""
         if error.suggests_unreachable:
             is_down = isinstance(error, ServerDownError)
             self._table.note_failure(server.name, is_down=is_down)
-        self.note_trouble(server, error)
+        self.record_no_answer(server, error)
 
-    def note_trouble(self, server: BackendServer, error: BackendError) -> None:
-        """Note that a statement got no answer, or its connection had ended.
+    def record_no_answer(self, server: BackendServer, error: BackendError) -> None:
+        """Record that a statement got no answer or that its connection had ended.
 
-        Only the server is asked at once: connections are lost and statements slow on
-        servers that work.
+        This only has the server probed at once and does not mark it as failing:
+        healthy servers lose connections and have slow statements, too.
         """
         log_rate_limited("server_failed", server=server.name, reason=error)
         if error.suggests_unreachable:
             self._suspect(server.name)
 
     def _connect(
-        self, backend: Backend, place: PlaceRequest, start_by: float
+        self, backend: Backend, admission_request: AdmissionRequest, start_by: float
     ) -> ServerConnection:
         def rank(connection: ServerConnection) -> int:
-            return carry_over_cost(place.values, connection.session)
+            return sync_cost(admission_request.values, connection.session)
 
         while True:
             try:
-                return backend.pool.acquire(start_by, open_by=place.deadline, rank=rank)
+                return backend.pool.acquire(
+                    start_by, open_by=admission_request.deadline, rank=rank
+                )
             except PoolTimeoutError as error:
                 raise NotServedError(_no_connection(backend)) from error
             except ConnectionLimitError as error:
-                # Others hold the rest at present; one of ours may come free.
+                # Other processes hold the rest of the server's connections at present;
+                # one of this process may become free.
                 backend.ceiling.record_connection_refused(backend.pool.open_count)
                 backend.adjust()
                 log_rate_limited(
@@ -235,12 +257,12 @@
                 )
                 remaining = start_by - self._clock.now()
                 has_none = backend.pool.open_count == 0
-                if remaining <= 0 or (has_none and place.has_alternatives):
+                if remaining <= 0 or (has_none and admission_request.has_alternatives):
                     raise NotServedError(_no_connection(backend)) from error
                 if has_none:
                     self._clock.sleep(min(remaining, CONNECTION_RETRY_SECONDS))
             except ConnectFailedError as error:
-                self.note_unreachable(backend.server, error)
+                self.record_unreachable(backend.server, error)
                 raise
 
 
@@ -249,10 +271,10 @@
     return any(statement.kind in writing for statement in statements)
 
 
-def _shown(position: Position | None) -> str:
+def _position_text(position: Position | None) -> str:
     return "-" if position is None else f"{position.term}.{position.offset}"
 
 
 def _no_connection(backend: Backend) -> StatementError:
-    message = f"no connection to {backend.server.name} came free"
+    message = f"no connection to {backend.server.name} became free in time"
     return StatementError(ErrorCode.BUSY, message, NO_CONNECTION_RETRY_MS)
--- a/packages/pooler/src/dogwoodspool_pooler/ceiling.py
+++ b/packages/pooler/src/dogwoodspool_pooler/ceiling.py
@@ -1,4 +1,4 @@
-"""How many connections to one server this process may hold at present."""
+"""Limit on the connections that this process may hold to one server."""
 
 from dogwoodspool_common import Clock
 
@@ -11,19 +11,19 @@
 
 
 class ConnectionCeiling:
-    """Share a server's connections with processes that one knows nothing of.
+    """Adapt to a server's connections being shared with processes not known here.
 
-    Some proxies have most of the callers while others idle, and the use changes
-    with every failure; fixed parts would leave connections unused. So each may
-    take a large part, and a refusal by the server lowers the ceiling to what is
-    open. It rises again by one a second.
+    Some proxies serve most of the callers while others are idle, and the distribution
+    changes with every failure, so fixed shares would leave connections unused. Instead
+    each process may take a large share, and a refusal by the server lowers the ceiling
+    to the number of open connections. It then rises by one connection a second.
 
-    A process also begins low. After a loss of power all proxies start together, while
-    the servers go on to count the connections of before: the first proxy to be back
-    would take all others, and the last would have none for a second and a half.
+    The ceiling also starts low. After a power loss all proxies start together while the
+    servers still count the connections from before: the first proxy to be back would
+    take all the remaining ones, and the last would have none for a second and a half.
 
     Args:
-        highest: the largest part.
+        highest: number of connections in the full share.
         started_at: clock seconds at which this process began to serve.
     """
 
@@ -35,7 +35,7 @@
         self._changed_at = clock.now()
 
     def value(self) -> int:
-        """Return the ceiling at this time."""
+        """Return the current ceiling."""
         now = self._clock.now()
         steps = int((now - self._changed_at) / CEILING_STEP_SECONDS)
         if steps > 0 and self._ceiling < self._highest:
@@ -45,12 +45,12 @@
         return min(self._ceiling, FIRST_CONNECTIONS + first_steps)
 
     def record_connection_refused(self, open_count: int) -> None:
-        """Take in that the server refused one connection more."""
+        """Record that the server refused another connection."""
         self._ceiling = max(1, min(self._highest, open_count))
         self._changed_at = self._clock.now()
 
     def set_highest(self, highest: int) -> None:
-        """Change the largest part."""
+        """Change the number of connections in the full share."""
         highest = max(MIN_CONNECTIONS, highest)
         if highest != self._highest:
             self._highest = highest
--- a/packages/pooler/src/dogwoodspool_pooler/connection.py
+++ b/packages/pooler/src/dogwoodspool_pooler/connection.py
@@ -1,4 +1,4 @@
-"""What the pooler needs of a connection to a backend server."""
+"""Interface to a connection to a backend server."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -15,17 +15,17 @@
 
     Attributes:
         server: the backend server.
-        session: values and prepared statements that the connection holds.
+        session: values and prepared statements that are present on the connection.
     """
 
     server: BackendServer
     session: ConnectionState
 
     def exchange(self, statements: Sequence[Statement], deadline: float) -> list[Reply]:
-        """Send statements together and return the answer to each.
+        """Send statements together and return the reply to each.
 
         Raises:
-            ConnectFailedError: the connection is closed; nothing was sent.
-            OutcomeUnknownError: some answer is missing; the connection is closed.
+            ConnectFailedError: the connection was closed; nothing was sent.
+            OutcomeUnknownError: a reply is missing; the connection is closed.
         """
         ...
--- a/packages/pooler/src/dogwoodspool_pooler/const.py
+++ b/packages/pooler/src/dogwoodspool_pooler/const.py
@@ -2,109 +2,121 @@
 
 from typing import Final
 
-# Part of a request's target in which it may wait for a place on a server. One that
-# would wait longer is told at once to come back, and finds another proxy's share.
+# Part of a request's target latency that it may spend waiting for admission to a
+# server. One that would wait longer is refused at once with a retry time, so that its
+# caller can use the share of another proxy.
 WAIT_SHARE: Final = 0.25
-# Part of a read's time that its first attempt gets: a connection that went silent
-# shows only by the missing answer, and time must be left for another server.
+# Part of a read's remaining time that its first attempt gets: a dead connection shows
+# only by the missing answer, and time must be left to try another server.
 READ_ATTEMPT_SHARE: Final = 0.4
-# Part of its time that a read at the primary gets. A primary that has gone dark shows
-# by nothing else, and its caller has another try left at the end.
+# Part of its remaining time that a read at the primary gets. A primary that stopped
+# answering shows by nothing else, and this leaves its caller time for a retry.
 PRIMARY_READ_SHARE: Final = 0.7
 MAX_READ_ATTEMPTS: Final = 4
 MAX_WRITE_ATTEMPTS: Final = 4
-# Pause before a statement that a full server refused is sent to it again: about one
-# statement's time.
+# Pause before a statement that a full server refused is sent to it again: about the
+# duration of one statement.
 BUSY_RETRY_SECONDS: Final = 0.02
-# Wait for the answer to an order that costs the server nothing, such as a begin.
-SESSION_ORDER_TIMEOUT: Final = 0.3
+# Time limit for the reply to a statement that costs the server next to nothing, such
+# as a begin or a rollback.
+INTERNAL_STATEMENT_TIMEOUT: Final = 0.3
 
-# Least distance of two marks of freshness, and how long they are kept: above the
-# greatest age that an endpoint states.
-MARK_SPACING_SECONDS: Final = 0.05
-MARK_LIFE_SECONDS: Final = 10.0
+# Least time between two freshness marks, and the time for which they are kept, which
+# is longer than the greatest data age that any endpoint accepts.
+FRESHNESS_MARK_SPACING_SECONDS: Final = 0.05
+FRESHNESS_MARK_LIFE_SECONDS: Final = 10.0
 
-# Pause before a server that lacked a position is asked for one again: about the usual
-# lag, and longer each time up to a part of the age that reads commonly accept.
-BEHIND_LOOK_SECONDS: Final = 0.05
-MAX_BEHIND_LOOK_SECONDS: Final = 0.8
+# Pause before a server that lacked a position is tried again: at first about the usual
+# replication lag, then doubled each time up to a part of the data age that reads
+# commonly accept.
+LAG_RECHECK_SECONDS: Final = 0.05
+MAX_LAG_RECHECK_SECONDS: Final = 0.8
 
-# A read prefers its own failure domain until the others are expected to answer so
-# much sooner: about one statement's time, as bytes between failure domains cost.
+# A read stays in its own failure domain until another one is expected to answer this
+# many seconds sooner: about the duration of one statement, because traffic between
+# failure domains is charged.
 OTHER_DOMAIN_PENALTY: Final = 0.025
-# The primary's slots are wanted by writes: a replica may take so much longer.
+# A replica is preferred to the primary until it is expected to take this many seconds
+# longer, because only the primary's slots can run writes.
 PRIMARY_PENALTY: Final = 0.008
 
-# A planned change of primary ends within 2 s; a server that leaves stays for 7 s.
+# Time for which a leaving primary still gets new work: a switchover ends within 2 s,
+# and a server that leaves stays up for 7 s.
 LEAVING_GRACE_SECONDS: Final = 4.5
 
-# Connections to one server that this process keeps in use at most, as a part of
-# what the server takes. Proxies are many and unevenly used, so the parts add up to
-# more than there is; the server's refusal lowers the part for a while.
+# Greatest part of a server's connections that this process may hold. There are many
+# proxies with uneven load, so their parts add up to more than the server accepts; a
+# refusal by the server lowers the part for a while.
 CONNECTION_SHARE: Final = 0.2
 MIN_CONNECTIONS: Final = 2
 DEFAULT_CONNECTIONS: Final = 16
 CEILING_STEP_SECONDS: Final = 1.0
-# Connections to one server that a process may hold at first, and the time until it may
-# hold one more: of proxies that start together each has one before any has two.
+# Connections to one server that a process may hold at first, and the time after which
+# it may hold one more: when proxies start together, each gets one connection before any
+# gets two.
 FIRST_CONNECTIONS: Final = 1
 START_STEP_SECONDS: Final = 0.2
-# Pause before another connection is asked for where the server has too many and this
-# process has none: about two statements' time.
+# Pause before another connection attempt if the server is at its connection limit and
+# this process has no connection: about the duration of two statements.
 CONNECTION_RETRY_SECONDS: Final = 0.05
-# After a power loss of many proxies the servers go on to count their connections for
-# some seconds, and what was held then is missing when they are back. One connection
-# stays for callers that come now and then; those beyond it go after a few statements'
-# times.
+# Idle time after which the last connection of a pool and those beyond it (surplus
+# connections) are closed. After many proxies lose power, the servers still count their
+# connections for some seconds, and that many are missing once the proxies are back. One
+# connection is kept for occasional callers; surplus connections are closed after the
+# duration of a few statements.
 IDLE_EXPIRY_SECONDS: Final = 1.0
 SURPLUS_EXPIRY_SECONDS: Final = 0.12
-# Time between two looks for such connections in pools that nobody uses: short, so that
-# bursts leave little behind.
+# Time between two checks for such connections in unused pools: short, so that few
+# connections stay open after a burst.
 EXPIRY_CHECK_SECONDS: Final = 0.15
 CONNECT_TIMEOUT: Final = 0.5
 CHECK_TIMEOUT: Final = 0.25
-# Idle time after which a connection is asked for a sign of life before its use: it
-# may have gone silent meanwhile, and a write that it swallows is in doubt.
+# Idle time after which a connection is pinged before its use: it may have died
+# unnoticed meanwhile, and the outcome of a write sent on it would be in doubt.
 CHECK_AFTER_IDLE: Final = 1.0
 RESET_TIMEOUT: Final = 0.3
 QUEUE_LIMIT: Final = 64
 
-# A write without an answer for so long, while reads have theirs, is reported.
+# A server is reported as stalled once a write has been unanswered for this long, even
+# if it still answers reads.
 STALL_REPORT_SECONDS: Final = 0.4
 REPORT_SECONDS: Final = 0.2
 REPORT_CHECK_SECONDS: Final = 0.2
-# A control process answers within milliseconds; a lost packet is sent again after
-# 0.2 s.
+# A control process answers within milliseconds, and a lost packet is retransmitted
+# after 0.2 s.
 REPORT_TIMEOUT: Final = 0.3
-# Pause after an answer that did not come: its wait was a pause already.
+# Pause after a report that was not answered: short, because the wait for the answer was
+# a pause already.
 REPORT_RETRY_SECONDS: Final = 0.05
-# Control processes that are given one report, the one believed to lead included: enough
-# to follow a refusal that names the leader.
+# Control processes that one report is sent to, including the presumed leader: enough to
+# follow one refusal that names the leader.
 REPORT_ATTEMPTS: Final = 2
-# Time between two questions to control that only the failure of a poll calls for: about
-# as long as an election, in which each of thousands of proxies asks once.
-IN_QUESTION_SECONDS: Final = 1.0
-# Primaries that a process asks when a majority of control is silent: one that cannot be
-# reached shows enough, and a large deployment has thousands.
-MAX_PRIMARIES_ASKED: Final = 8
-# Pause between attempts to reach a server that failed.
+# Least time between two calls to control that were triggered only by a failed poll:
+# about the duration of an election, so that each of thousands of proxies calls once per
+# election.
+CONTROL_QUERY_INTERVAL_SECONDS: Final = 1.0
+# Primaries that a process probes when a majority of control does not answer: a single
+# unreachable one is evidence enough, and a large deployment has thousands.
+MAX_PRIMARIES_PROBED: Final = 8
+# Pause between attempts to connect to a server that failed, and their time limit.
 RECOVERY_PROBE_SECONDS: Final = 0.25
-# Servers that are tried at the same time: a cut failure domain has some of each group.
+# Servers that are probed at the same time: a failure domain that is cut off contains
+# servers of every group.
 RECOVERY_THREADS: Final = 4
 
-# From a failure to the first write at the new primary: detection and the platform's
-# own second.
+# Time from a primary's failure to the first write at the new one: failure detection
+# plus the second that the platform itself needs.
 NO_PRIMARY_RETRY_MS: Final = 1_000
-# While a change of primary is under way.
-CHANGING_RETRY_MS: Final = 300
+# Retry time while a promotion is in progress.
+PROMOTION_RETRY_MS: Final = 300
 BUSY_RETRY_MS: Final = 50
-# Connections of processes that ended are counted for a second and more, and a caller
-# has three attempts within a second.
+# The server counts the connections of processes that ended for more than a second, and
+# a caller makes three attempts within a second.
 NO_CONNECTION_RETRY_MS: Final = 150
 WATCH_WAIT_MS: Final = 1_000
-# Time for which a caller waits for the first view, and time from a process's start in
-# which callers do so: an election and the way to the view, and short enough that one
-# who is refused then can still come back.
+# Time for which a caller waits for the first view, and time after a process's start in
+# which callers do so: long enough for an election and the first view to arrive, and
+# short enough that a caller that is refused afterwards can still retry.
 FIRST_VIEW_WAIT_SECONDS: Final = 0.5
 FIRST_VIEW_DUE_SECONDS: Final = 1.5
 
--- a/packages/pooler/src/dogwoodspool_pooler/errors.py
+++ b/packages/pooler/src/dogwoodspool_pooler/errors.py
@@ -10,10 +10,10 @@
 
 
 class NotServedError(PoolerError):
-    """Report a statement that was not given to any server that ran it.
+    """Report a statement that no server ran.
 
     Attributes:
-        error: what the caller is told.
+        error: the error that the caller gets.
     """
 
     def __init__(self, error: StatementError) -> None:
@@ -22,16 +22,16 @@
 
 
 class NoPrimaryError(NotServedError):
-    """Report that this process reaches no server that leads the group."""
+    """Report that this process cannot reach the group's primary."""
 
 
 class NotReadyError(PoolerError):
-    """Report that nothing has come from control so far: any database may exist."""
+    """Report that no view has arrived from control yet: any database may exist."""
 
 
 class NoDatabaseError(PoolerError):
-    """Report a database name that no endpoint has."""
+    """Report a database name without an endpoint."""
 
 
 class NotFreshError(PoolerError):
-    """Report that no position is known that covers what a read must reflect."""
+    """Report that no known position is recent enough for what a read must reflect."""
--- a/packages/pooler/src/dogwoodspool_pooler/expiry.py
+++ b/packages/pooler/src/dogwoodspool_pooler/expiry.py
@@ -1,4 +1,4 @@
-"""Close connections that idle in pools which nobody uses at present."""
+"""Close idle connections in pools that are not in use."""
 
 from collections.abc import Callable
 
@@ -10,27 +10,27 @@
 
 
 class ConnectionExpiry(Coordinator):
-    """Give up what a burst of callers has left open.
+    """Close connections that remain open after a burst of requests.
 
     Args:
-        is_handed_on: tells whether requests to a group go to other processes, which
-            then need all connections that its servers take.
+        is_forwarded: returns whether requests to a group are forwarded to other
+            processes, which then need all connections that its servers accept.
     """
 
     def __init__(
         self,
         registry: BackendRegistry,
-        is_handed_on: Callable[[str], bool],
+        is_forwarded: Callable[[str], bool],
         clock: Clock,
     ) -> None:
         super().__init__("connection-expiry", clock)
         self._registry = registry
-        self._is_handed_on = is_handed_on
+        self._is_forwarded = is_forwarded
 
     def step(self) -> float:
-        """Look once at every pool."""
+        """Check every pool once."""
         for backend in self._registry.all():
-            if self._is_handed_on(backend.server.group):
+            if self._is_forwarded(backend.server.group):
                 backend.pool.close_idle()
             else:
                 backend.pool.close_expired()
--- a/packages/pooler/src/dogwoodspool_pooler/freshness.py
+++ b/packages/pooler/src/dogwoodspool_pooler/freshness.py
@@ -1,20 +1,21 @@
-"""Know a position that every commit up to some time is covered by."""
+"""Track log positions that include every commit up to a known time."""
 
 import threading
 from collections import deque
 
 from dogwoodspool_common import Clock, Position
 
-from .const import MARK_LIFE_SECONDS, MARK_SPACING_SECONDS
+from .const import FRESHNESS_MARK_LIFE_SECONDS, FRESHNESS_MARK_SPACING_SECONDS
 
 
 class FreshnessTracker:
-    """Remember how far each group's primary was, and when it was asked.
+    """Keep freshness marks: primary positions and the times they were requested.
 
-    A primary that answers a write or an open transaction holds its place at that
-    moment, so that its log has every commit acknowledged before it was asked. A
-    server with that position therefore serves reads that accept data as old as
-    the time since. No server is asked for this: the answers come anyway.
+    A server that answers a write or a statement of a read-write transaction is the
+    primary at that moment, so its log contains every commit acknowledged before the
+    request was sent. Any server that has reached this position can therefore serve
+    reads that accept data as old as the time since then. The positions come with
+    replies to regular requests, so that no server is queried for them.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -23,29 +24,29 @@
         self._marks: dict[str, deque[tuple[float, Position]]] = {}
 
     def record(self, group: str, position: Position | None, asked_at: float) -> None:
-        """Take in an answer of a primary that surely held its place.
+        """Record the position in a reply of a server that was certainly the primary.
 
         Args:
-            group: its group.
-            position: how far its log was; None where it did not say.
-            asked_at: clock seconds before the question was sent.
+            group: the server's database group.
+            position: position of its log; None if the reply has none.
+            asked_at: clock seconds before the request was sent.
         """
         if position is None:
             return
         with self._lock:
             marks = self._marks.setdefault(group, deque())
-            if marks and asked_at - marks[-1][0] < MARK_SPACING_SECONDS:
+            if marks and asked_at - marks[-1][0] < FRESHNESS_MARK_SPACING_SECONDS:
                 return
             marks.append((asked_at, position))
-            oldest = self._clock.now() - MARK_LIFE_SECONDS
+            oldest = self._clock.now() - FRESHNESS_MARK_LIFE_SECONDS
             while marks[0][0] < oldest:
                 marks.popleft()
 
     def min_position(self, group: str, max_age: float) -> Position | None:
-        """Return the lowest position that covers commits older than an age.
+        """Return the lowest known position that includes all commits older than an age.
 
-        The lowest is what most replicas have. None where nothing recent enough is
-        known; the primary must then be asked.
+        The lowest is the one that most replicas have reached. None means that no recent
+        enough position is known, so that the primary must serve the read.
 
         Args:
             group: the database group.
--- a/packages/pooler/src/dogwoodspool_pooler/held.py
+++ b/packages/pooler/src/dogwoodspool_pooler/held.py
@@ -1,4 +1,4 @@
-"""What the paths of requests need of a connection that one of them holds."""
+"""Interface to a connection that one request or transaction holds."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadBound:
-    """What a read that any server may serve must reflect.
+    """What the data of a read must reflect if any server may serve it.
 
     Attributes:
-        max_age: every commit older than so many seconds.
-        at_least: a position besides; None for none.
+        max_age: age in seconds from which every commit must be reflected.
+        at_least: position that must be reflected as well; None for none.
     """
 
     max_age: float
@@ -34,7 +34,7 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether a transaction is open on it."""
+        """Return whether a transaction is open on it."""
         ...
 
     def run(
@@ -44,44 +44,45 @@
         prepared: Prepared | None,
         deadline: float,
     ) -> Reply:
-        """Run one statement in a session's state.
+        """Run one statement with a session's values and prepared statement.
 
         Args:
             values: the session's values.
-            statement: what the caller sent.
-            prepared: what it executes, where it executes a prepared statement.
-            deadline: clock time until which the whole answer must be there.
+            statement: the statement that the caller sent.
+            prepared: the prepared statement that it executes, if any.
+            deadline: clock time by which the complete reply must have arrived.
 
         Raises:
-            NotServedError: it waited for a place in vain; nothing was sent.
-            ServerNotReachedError: no connection came up; nothing was sent.
+            NotServedError: it was not admitted in time; nothing was sent.
+            ServerNotReachedError: no connection could be opened; nothing was sent.
             ConnectFailedError: the connection had ended; nothing was sent.
-            OutcomeUnknownError: no complete answer came.
+            OutcomeUnknownError: no complete reply arrived.
         """
         ...
 
-    def order(
+    def run_internal(
         self,
         statement: Statement,
         deadline: float,
         *,
         bound: ReadBound | None = None,
     ) -> Reply:
-        """Run one of the pooler's own statements.
+        """Run a statement that the pooler itself issues, such as a begin.
 
         Args:
-            statement: what shall run.
-            deadline: clock time until which the whole answer must be there.
-            bound: what the server must reflect, where it may be any.
+            statement: the statement to run.
+            deadline: clock time by which the complete reply must have arrived.
+            bound: what the server must reflect; None if only the primary may serve it.
 
         Raises:
-            NotFreshError: no position is known that meets the bound; nothing was sent.
+            NotFreshError: no position is known that satisfies the bound; nothing was
+                sent.
             BackendError: as for ``run``.
         """
         ...
 
     def finish(self, *, is_good: bool) -> None:
-        """Give connection and place back; finishing again does nothing."""
+        """Release the connection and its admission; repeated calls do nothing."""
         ...
 
 
@@ -90,7 +91,7 @@
 
 
 class ConnectionAccess(Protocol[HeldT_co]):
-    """Give requests connections to backend servers."""
+    """Provide connections to backend servers for requests."""
 
     def open(
         self,
@@ -99,43 +100,43 @@
         *,
         has_alternatives: bool = False,
     ) -> HeldT_co:
-        """Return a connection, or what stands for one of another process.
+        """Return a connection of this process, or a proxy for one of another process.
 
         Args:
-            server: where it shall run.
-            request: what shall run.
-            has_alternatives: another server may serve the request as well, so that
-                it is not worth waiting until this one takes one connection more.
+            server: the server to run the request on.
+            request: the request to run.
+            has_alternatives: whether another server can serve the request as well, so
+                that it does not wait for this server to accept another connection.
 
         Raises:
-            NotServedError: there is none; nothing was sent.
+            NotServedError: no connection is available; nothing was sent.
             ConnectFailedError: the server cannot be reached; nothing was sent.
         """
         ...
 
     def begin_on_primary(self, held: HeldConnection, request: Request) -> Reply:
-        """Begin a transaction, which only a server that leads does."""
+        """Begin a read-write transaction, which only the acting primary accepts."""
         ...
 
-    def may_be_fresh(self, group: str, bound: ReadBound) -> bool:
-        """Tell whether a position that meets a bound may be known where it runs."""
+    def can_satisfy(self, group: str, bound: ReadBound) -> bool:
+        """Return whether the serving process may know a position within a bound."""
         ...
 
-    def note_fresh(
+    def record_freshness(
         self, server: BackendServer, position: Position | None, asked_at: float
     ) -> None:
-        """Take in how far a primary was that surely held its place."""
+        """Record a log position of a server that was certainly the primary then."""
         ...
 
 
 def roll_back(held: HeldConnection, deadline: float) -> None:
-    """End a transaction on a held connection and give the connection back."""
+    """Roll back the transaction on a held connection and release the connection."""
     is_good = False
     try:
-        reply = held.order(Statement(StatementKind.ROLLBACK), deadline)
+        reply = held.run_internal(Statement(StatementKind.ROLLBACK), deadline)
         is_good = reply.state is TransactionState.IDLE
     except (ConnectFailedError, OutcomeUnknownError) as error:
-        # The connection is closed below, which ends the transaction as well.
+        # The connection is closed below, which makes the server roll back as well.
         log_rate_limited("rollback_by_close", server=held.server.name, reason=error)
     finally:
         held.finish(is_good=is_good)
--- a/packages/pooler/src/dogwoodspool_pooler/lag.py
+++ b/packages/pooler/src/dogwoodspool_pooler/lag.py
@@ -1,26 +1,26 @@
-"""Which servers lacked a position when they were last asked for it."""
+"""Track the servers that lacked a required log position."""
 
 import threading
 from dataclasses import dataclass
 
 from dogwoodspool_common import Clock, Position
 
-from .const import BEHIND_LOOK_SECONDS, MAX_BEHIND_LOOK_SECONDS
+from .const import LAG_RECHECK_SECONDS, MAX_LAG_RECHECK_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    floor: Position
+    min_position: Position
     pause: float
-    ask_at: float
+    retry_at: float
 
 
 class LagTracker:
-    """Remember servers that are behind, so that reads do not ask them in vain.
+    """Track lagging servers, so that reads skip servers that would refuse them.
 
-    The load pattern that it answers: replicas fall behind for seconds, and every read
-    would ask each of them first and be refused. One read asks again after a pause,
-    which doubles with each refusal.
+    Replicas lag for seconds at a time, and without this every read would first be sent
+    to each of them and be refused. After a pause one read tries such a server again;
+    the pause doubles with each refusal.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -28,32 +28,32 @@
         self._lock = threading.Lock()
         self._refusals: dict[str, _Refusal] = {}
 
-    def record_lagging(self, server: str, floor: Position) -> None:
-        """Take in that a server lacked a position."""
+    def record_lagging(self, server: str, min_position: Position) -> None:
+        """Record that a server had not reached a position."""
         now = self._clock.now()
         with self._lock:
             known = self._refusals.get(server)
-            pause = BEHIND_LOOK_SECONDS
-            if known is not None and now - known.ask_at < MAX_BEHIND_LOOK_SECONDS:
-                # Refusals of reads that were sent together count once.
-                is_new = now >= known.ask_at
+            pause = LAG_RECHECK_SECONDS
+            if known is not None and now - known.retry_at < MAX_LAG_RECHECK_SECONDS:
+                # The refusals of reads that were in flight together count once.
+                is_new = now >= known.retry_at
                 pause = known.pause * 2 if is_new else known.pause
-                floor = min(floor, known.floor)
-            pause = min(pause, MAX_BEHIND_LOOK_SECONDS)
-            self._refusals[server] = _Refusal(floor, pause, now + pause)
+                min_position = min(min_position, known.min_position)
+            pause = min(pause, MAX_LAG_RECHECK_SECONDS)
+            self._refusals[server] = _Refusal(min_position, pause, now + pause)
 
     def record_caught_up(self, server: str) -> None:
-        """Take in that a server had what a read needed."""
+        """Record that a server had reached the position that a read required."""
         if server in self._refusals:
             with self._lock:
                 self._refusals.pop(server, None)
 
-    def lagging(self, floor: Position) -> set[str]:
-        """Return the servers that need not be asked for a position now."""
+    def lagging(self, min_position: Position) -> set[str]:
+        """Return the servers that are not to be tried for a position at present."""
         now = self._clock.now()
         with self._lock:
             return {
                 server
                 for server, refusal in self._refusals.items()
-                if refusal.floor <= floor and now < refusal.ask_at
+                if refusal.min_position <= min_position and now < refusal.retry_at
             }
--- a/packages/pooler/src/dogwoodspool_pooler/pooled_hold.py
+++ b/packages/pooler/src/dogwoodspool_pooler/local_connection.py
@@ -1,4 +1,4 @@
-"""A connection of this process's own pools that one request or transaction holds."""
+"""A connection of this process's pools that one request or transaction holds."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -12,18 +12,22 @@
 from .models import ErrorCode, Prepared, Reply, Statement
 from .registry import Backend
 from .server_work import outcome_of
-from .session_state import carry_over, on_server
+from .session_state import sync_statements, with_server_name
 
 
-class Exchanges(Protocol):
-    """What a held connection needs to send statements; see ``ServerAccess``."""
+class StatementSender(Protocol):
+    """Interface that a held connection sends statements with; see ``ServerAccess``."""
 
     def now(self) -> float:
         """Return the clock's time."""
         ...
 
-    def floor(self, group: str, bound: ReadBound) -> Position:
-        """Return the position that a server must have; raise ``NotFreshError``."""
+    def min_position(self, group: str, bound: ReadBound) -> Position:
+        """Return the position that a server must have reached.
+
+        Raises:
+            NotFreshError: no position is known that satisfies the bound.
+        """
         ...
 
     def exchange(
@@ -33,19 +37,19 @@
         statements: Sequence[Statement],
         deadline: float,
     ) -> list[Reply]:
-        """Send statements and take in what the answers tell of the server."""
+        """Send statements and record what the replies show of the server."""
         ...
 
 
-class PooledHold:
-    """A connection of this process's own pools; see ``HeldConnection``."""
+class LocalHeldConnection:
+    """A connection of this process's pools; implements ``HeldConnection``."""
 
     def __init__(
         self,
         backend: Backend,
         connection: ServerConnection,
         admission: Admission,
-        access: Exchanges,
+        access: StatementSender,
     ) -> None:
         self._backend = backend
         self._connection = connection
@@ -62,7 +66,7 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether a transaction is open on it."""
+        """Return whether a transaction is open on it."""
         return self._connection.in_transaction
 
     def run(
@@ -75,39 +79,39 @@
         then: Statement | None = None,
         bound: ReadBound | None = None,
     ) -> Reply:
-        """Run one statement in a session's state."""
-        before = carry_over(values, self._connection.session, prepared)
+        """Run one statement with a session's values and prepared statement."""
+        before = sync_statements(values, self._connection.session, prepared)
         after = [] if then is None else [then]
-        sent = on_server(self._bounded(statement, bound), prepared)
+        sent = with_server_name(self._with_wait_for(statement, bound), prepared)
         replies = self._exchange([*before, sent, *after], deadline)
         reply = replies[len(before)]
         self._outcome = outcome_of(statement, reply)
-        self._leave_place()
-        for own, answer in zip(before, replies, strict=False):
+        self._release_slot()
+        for one, answer in zip(before, replies, strict=False):
             if answer.error is not None:
                 log_rate_limited(
                     "session_state_refused",
                     level="WARNING",
                     server=self.server.name,
-                    kind=own.kind,
+                    kind=one.kind,
                     code=answer.error.code,
                 )
-        return self._with_return_time(reply)
+        return self._with_retry_time(reply)
 
-    def order(
+    def run_internal(
         self,
         statement: Statement,
         deadline: float,
         *,
         bound: ReadBound | None = None,
     ) -> Reply:
-        """Run one of the pooler's own statements."""
-        (reply,) = self._exchange([self._bounded(statement, bound)], deadline)
+        """Run a statement that the pooler itself issues, such as a begin."""
+        (reply,) = self._exchange([self._with_wait_for(statement, bound)], deadline)
         self._outcome = outcome_of(statement, reply)
-        return self._with_return_time(reply)
+        return self._with_retry_time(reply)
 
     def finish(self, *, is_good: bool) -> None:
-        """Give connection and place back; finishing again does nothing."""
+        """Release the connection and its admission; repeated calls do nothing."""
         if self._is_finished:
             return
         self._is_finished = True
@@ -115,15 +119,18 @@
         self._backend.pool.release(self._connection, reuse=is_reusable)
         if not is_good:
             self._outcome = AdmissionOutcome.UNANSWERED
-        self._leave_place()
+        self._release_slot()
 
-    def _bounded(self, statement: Statement, bound: ReadBound | None) -> Statement:
+    def _with_wait_for(
+        self, statement: Statement, bound: ReadBound | None
+    ) -> Statement:
         if bound is None:
             return statement
-        # Only now: a process may stand still between its decisions, and a position
-        # of before would be older than the read may see.
-        floor = self._access.floor(self.server.group, bound)
-        return replace(statement, wait_for=floor)
+        # Looked up at the last moment: the process may be suspended between choosing
+        # the server and sending, and a position looked up earlier could then be older
+        # than the read accepts.
+        min_position = self._access.min_position(self.server.group, bound)
+        return replace(statement, wait_for=min_position)
 
     def _exchange(
         self, statements: Sequence[Statement], deadline: float
@@ -135,19 +142,19 @@
         self._elapsed += self._access.now() - began_at
         return replies
 
-    def _with_return_time(self, reply: Reply) -> Reply:
-        """Add when to come back to a refusal of a full server, which does not say."""
+    def _with_retry_time(self, reply: Reply) -> Reply:
+        """Add a retry time to the refusal of a full server that names none."""
         error = reply.error
         if error is None or error.code is not ErrorCode.BUSY or error.retry_after_ms:
             return reply
         retry_after_ms = self._backend.admission.return_after_ms()
         return replace(reply, error=replace(error, retry_after_ms=retry_after_ms))
 
-    def _leave_place(self) -> None:
-        """Tell the admission how the statement ended, and leave.
+    def _release_slot(self) -> None:
+        """Report the statement's outcome to the admission queue and free its slot.
 
-        A transaction between two statements runs nothing on the server, so it
-        keeps no place.
+        A transaction runs nothing on the server between two statements, so it does
+        not occupy a slot then.
         """
         if self._admission is not None:
             self._admission.done(self._elapsed, self._outcome)
--- a/packages/pooler/src/dogwoodspool_pooler/models.py
+++ b/packages/pooler/src/dogwoodspool_pooler/models.py
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One statement, from a caller or of the pooler's own.
+    """One statement, from a caller or issued by the pooler itself.
 
     Attributes:
-        request_id: the caller's name for the request; ``OWN_REQUEST`` for the
-            pooler's own statements.
-        text: the caller's words, which reach the server as they are.
-        name: of the value that is set, or of the prepared statement.
-        argument: the value, the shape of a prepared statement, or what it is
-            executed with.
-        access: of a statement that is prepared.
-        wait_for: position that a server must have before it reads or begins.
+        request_id: id that the caller gave the request; ``OWN_REQUEST`` for statements
+            that the pooler itself issues.
+        text: the caller's text, which is sent to the server unchanged.
+        name: name of the value to set or of the prepared statement.
+        argument: value to set, shape of the statement to prepare, or argument to
+            execute a prepared statement with.
+        access: whether a statement to prepare reads or writes; else None.
+        wait_for: position that a server must have reached before it reads or begins.
     """
 
     kind: StatementKind
@@ -56,7 +56,7 @@
 
 
 class TransactionState(StrEnum):
-    """Where a session or connection stands."""
+    """Transaction state of a session or connection."""
 
     IDLE = "idle"
     OPEN = "open"
@@ -82,7 +82,7 @@
 
     @property
     def is_not_run(self) -> bool:
-        """Whether the server that says so has not run the statement."""
+        """Whether a server that answers with this code did not run the statement."""
         return self in _NOT_RUN
 
 
@@ -100,10 +100,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementError:
-    """Why a statement has no result, in words.
+    """Why a statement has no result.
 
     Attributes:
-        retry_after_ms: when to come back; 0 where that is not known.
+        message: explanation for the caller.
+        retry_after_ms: milliseconds until a retry makes sense; 0 if unknown.
     """
 
     code: ErrorCode
@@ -113,14 +114,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A server's complete answer to one statement.
+    """A server's complete reply to one statement.
 
     Attributes:
-        rows: the rows, as the server sent them.
+        rows: the rows as the server sent them.
         proof: the server's proof that it ran the statement.
-        error: why there is no result.
-        state: where the connection stands now.
-        position: how far the server's log is.
+        error: why there is no result; None if there is one.
+        state: transaction state of the connection after the statement.
+        position: position of the server's log; None if not known.
     """
 
     rows: tuple[str, ...]
@@ -132,10 +133,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller is told.
+    """Answer to a caller's statement.
 
     Attributes:
-        state: where its session stands now.
+        state: transaction state of its session after the statement.
     """
 
     state: TransactionState
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepared:
-    """What a prepared statement does, whatever a session calls it."""
+    """Content of a prepared statement, independent of the name in a session."""
 
     access: Access
     shape: str
--- a/packages/pooler/src/dogwoodspool_pooler/placement.py
+++ b/packages/pooler/src/dogwoodspool_pooler/placement.py
@@ -1,4 +1,4 @@
-"""Choose the backend server for a statement; no input or output here."""
+"""Choose the backend server for a statement, without any I/O."""
 
 from collections.abc import Collection, Iterable, Sequence
 
@@ -15,16 +15,17 @@
     failure_domain: str,
     excluded: Collection[str],
 ) -> list[ServerView]:
-    """Order the servers that may take a read, the best first.
+    """Return the servers that may run a read, best first.
 
-    The load pattern behind the weights: reads outnumber writes by far, every
-    failure domain but one has a server of its own, and the primary's slots are
-    the only ones that can take writes. So a read stays in its failure domain, and
-    leaves the primary alone, until the queue there costs more than the way.
+    The penalties assume this load: reads far outnumber writes, every failure domain
+    but one has a server of its own, and only the primary's slots can run writes. So a
+    read stays in its failure domain and off the primary until the queueing time there
+    exceeds the penalty for going elsewhere.
 
-    With 1.4 times a server's capacity coming to one failure domain and 0.2 times to two
-    others, all reads end within 0.25 s; 24 % do where each stays in its domain. At 0.4
-    times the capacity everywhere 87 % stay, in place of 33 % by turns (replayed load).
+    In a replayed load with 1.4 times a server's capacity arriving in one failure domain
+    and 0.2 times in two others, all reads end within 0.25 s; 24 % do if every read
+    stays in its domain. At 0.4 times the capacity in every domain 87 % of the reads
+    stay in their domain, against 33 % with round-robin placement.
     """
     usable = [
         one
@@ -47,27 +48,27 @@
 
 
 def expected_time(server: ServerView) -> float:
-    """Return the seconds that one more statement would take on a server.
+    """Return the expected duration in seconds of one more statement on a server.
 
-    A statement waits only once the server's slots are taken. What other processes
-    have running there shows in the average latency.
+    A statement queues only once all slots of the server are in use. The statements of
+    other processes are accounted for by the average latency.
     """
     waiting = max(0, server.in_flight + 1 - server.server.slots)
     return server.latency * (1 + waiting / server.server.slots)
 
 
-class PrimaryMemory:
-    """Remember which server took a group's writes before the present change.
+class PrimaryHistory:
+    """Remember each group's primary from before a switchover or failover in progress.
 
-    While a group changes its primary on purpose the old one goes on working until
-    the lead has moved, so callers need not wait for the end of the change.
+    During a switchover the old primary keeps serving until the new one has taken
+    over, so callers need not wait for the end of the switchover.
     """
 
     def __init__(self) -> None:
         self._steady: dict[str, str] = {}
 
-    def note(self, groups: Iterable[GroupState]) -> None:
-        """Take in the groups of a new view."""
+    def record(self, groups: Iterable[GroupState]) -> None:
+        """Record the primaries of a new view."""
         for group in groups:
             if group.phase is Phase.STEADY and group.primary is not None:
                 self._steady[group.name] = group.primary
@@ -75,7 +76,7 @@
     def candidates(
         self, group: GroupState | None, servers: Sequence[BackendServer]
     ) -> list[BackendServer]:
-        """Return the servers that may lead now, the likeliest first."""
+        """Return the servers that may be the primary now, most likely first."""
         if group is None:
             return []
         names = [self._steady.get(group.name), group.primary]
--- a/packages/pooler/src/dogwoodspool_pooler/primaries.py
+++ b/packages/pooler/src/dogwoodspool_pooler/primaries.py
@@ -1,4 +1,4 @@
-"""Reach the server that leads a group, also while the lead moves."""
+"""Run requests on a group's primary, also during a switchover or failover."""
 
 from collections.abc import Callable
 from typing import Generic
@@ -13,9 +13,9 @@
 
 from .const import (
     BUSY_RETRY_MS,
-    CHANGING_RETRY_MS,
     MAX_WRITE_ATTEMPTS,
     NO_PRIMARY_RETRY_MS,
+    PROMOTION_RETRY_MS,
 )
 from .errors import NoPrimaryError, NotServedError
 from .held import ConnectionAccess, HeldT
@@ -25,11 +25,11 @@
 
 
 class PrimaryPath(Generic[HeldT]):
-    """Try the servers that may lead, until one does.
+    """Try the servers that may be the primary, until one is.
 
-    A server that has lost its place refuses before it runs anything, so that the
-    next may be tried. Where none is left, the view of control is waited for as
-    long as the request may wait.
+    A server that is no longer the primary refuses a request before it runs anything,
+    so that the next one can be tried. If none is left, the request waits for a newer
+    view from control, for as long as it may wait.
     """
 
     def __init__(
@@ -50,28 +50,28 @@
         """Run a request on the primary.
 
         Args:
-            request: what shall run.
-            attempt: runs it on a connection of a server that may lead.
+            request: the request to run.
+            attempt: runs it on a connection to a server that may be the primary.
 
         Returns:
-            The connection, which the caller finishes, and the answer, which is no
-            refusal for want of the lead.
+            The connection, which the caller of this method must finish, and the reply,
+            which is never a refusal of a server that is not the primary.
 
         Raises:
-            NoPrimaryError: no server that leads is in reach; nothing of it ran.
-            NotServedError: nothing of it ran.
+            NoPrimaryError: no primary can be reached; the request did not run.
+            NotServedError: the request did not run.
             OutcomeUnknownError: it may have run; the connection is finished.
         """
         refused: set[str] = set()
         for number in range(MAX_WRITE_ATTEMPTS):
             version = self._views.view.version
-            server = self._next(request.endpoint.group, refused)
+            server = self._next_candidate(request.endpoint.group, refused)
             if server is not None:
                 result = self._try(request, server, attempt)
                 if result is not None:
                     return result
                 refused.add(server.name)
-            elif not self._await_news(request, version):
+            elif not self._wait_for_newer_view(request, version):
                 break
             else:
                 refused.clear()
@@ -79,10 +79,10 @@
                 break
         raise NoPrimaryError(self._no_primary(request.endpoint.group))
 
-    def run_repeatable(
+    def run_idempotent(
         self, request: Request, attempt: Callable[[HeldT], Reply]
     ) -> tuple[HeldT, Reply]:
-        """Run on the primary what may run again, such as a read; see ``run``.
+        """Run an idempotent request, such as a read, on the primary; see ``run``.
 
         Raises:
             NotServedError: it did not run, or its answer was lost.
@@ -113,7 +113,7 @@
         except ConnectFailedError:
             # The pooled connection had ended; nothing was sent on it.
             held.finish(is_good=False)
-            return self._try_again(request, server, attempt)
+            return self._retry(request, server, attempt)
         except OutcomeUnknownError:
             held.finish(is_good=False)
             raise
@@ -124,42 +124,42 @@
                 server=server.name,
                 view=self._views.view.version,
             )
-            self._known.note_refusal(request.endpoint.group, server.name)
+            self._known.record_refusal_to_lead(request.endpoint.group, server.name)
             held.finish(is_good=True)
             return None
         return held, reply
 
-    def _try_again(
+    def _retry(
         self, request: Request, server: BackendServer, attempt: Callable[[HeldT], Reply]
     ) -> tuple[HeldT, Reply] | None:
         if self._clock.now() >= request.deadline:
             return None
         return self._try(request, server, attempt)
 
-    def _next(self, group: str, refused: set[str]) -> BackendServer | None:
+    def _next_candidate(self, group: str, refused: set[str]) -> BackendServer | None:
         for server in self._known.candidates(group):
             if server.name not in refused:
                 return server
         return None
 
-    def _await_news(self, request: Request, version: int) -> bool:
-        """Wait for the end of a change of primary that is under way.
+    def _wait_for_newer_view(self, request: Request, version: int) -> bool:
+        """Wait for a newer view if a promotion is in progress; return if one came.
 
-        Before a change has begun it takes longer than a request may wait, so the
-        caller is told at once to come back.
+        If no promotion has begun yet, its end is further away than a request may wait,
+        so the caller is told at once to retry later.
         """
-        if not self._is_changing(request.endpoint.group):
+        if not self._is_promoting(request.endpoint.group):
             return False
         remaining = request.start_by - self._clock.now()
         return remaining > 0 and self._views.wait_newer(version, remaining)
 
-    def _is_changing(self, group: str) -> bool:
+    def _is_promoting(self, group: str) -> bool:
         state = self._views.view.groups.get(group)
         return state is not None and state.phase is Phase.PROMOTING
 
     def _no_primary(self, group: str) -> StatementError:
-        is_changing = self._is_changing(group)
-        retry_after_ms = CHANGING_RETRY_MS if is_changing else NO_PRIMARY_RETRY_MS
+        is_promoting = self._is_promoting(group)
+        retry_after_ms = PROMOTION_RETRY_MS if is_promoting else NO_PRIMARY_RETRY_MS
         return StatementError(
-            ErrorCode.BUSY, f"no primary of {group} is reachable", retry_after_ms
+            ErrorCode.BUSY, f"no primary of {group} can be reached", retry_after_ms
         )
--- a/packages/pooler/src/dogwoodspool_pooler/read_placement.py
+++ b/packages/pooler/src/dogwoodspool_pooler/read_placement.py
@@ -11,7 +11,7 @@
 
 
 class ReadPlacement:
-    """Place reads, and transactions that only read."""
+    """Choose servers for reads and read-only transactions."""
 
     def __init__(
         self,
@@ -26,19 +26,19 @@
         self._access = access
 
     def bound(self, request: Request) -> ReadBound | None:
-        """Return what a server must reflect; None for the primary alone."""
+        """Return what a server must reflect; None if only the primary may serve it."""
         endpoint = request.endpoint
         if endpoint.consistency is Consistency.PRIMARY or request.max_age is None:
             return None
         is_own = endpoint.consistency is Consistency.READ_YOUR_WRITES
         at_least = request.session_position if is_own else None
         bound = ReadBound(request.max_age, at_least)
-        if not self._access.may_be_fresh(endpoint.group, bound):
+        if not self._access.can_satisfy(endpoint.group, bound):
             return None
         return bound
 
     def choose(self, request: Request, excluded: set[str]) -> BackendServer | None:
-        """Return the best server for a read, None where none is left."""
+        """Return the best server for a read; None if all are excluded or unusable."""
         group = request.endpoint.group
         ranked = rank_for_read(
             self._table.servers(group),
@@ -49,12 +49,12 @@
         return ranked[0].server if ranked else None
 
     def is_primary(self, server: BackendServer) -> bool:
-        """Tell whether a server probably leads its group."""
+        """Return whether a server is probably the primary of its group."""
         return server.name == self._known.current(server.group)
 
 
 def log_read_moved(request: Request, server: BackendServer, reason: object) -> None:
-    """Log that a read, or the begin of a reading transaction, tries another server."""
+    """Log that a read or the begin of a read-only transaction tries another server."""
     log_rate_limited(
         "read_moved",
         request=request.statement.request_id,
--- a/packages/pooler/src/dogwoodspool_pooler/reads.py
+++ b/packages/pooler/src/dogwoodspool_pooler/reads.py
@@ -1,4 +1,4 @@
-"""Reads outside of transactions: on a server that has what they must reflect."""
+"""Reads outside of transactions, on servers that satisfy their consistency."""
 
 from dogwoodspool_common import (
     BackendServer,
@@ -15,30 +15,30 @@
 )
 from .errors import NotFreshError, NotServedError
 from .held import ReadBound
+from .local_connection import LocalHeldConnection
 from .models import (
     Reply,
     Statement,
     StatementKind,
     TransactionState,
 )
-from .pooled_hold import PooledHold
 from .primaries import PrimaryPath
 from .read_placement import ReadPlacement, log_read_moved
 from .requests import Request
 
 
 class ReadPath:
-    """Serve plain reads.
+    """Serve reads outside of transactions.
 
-    A read changes nothing, so it moves to another server when one does not answer
-    in time.
+    A read changes nothing, so it is retried on another server when one does not
+    answer in time.
     """
 
     def __init__(
         self,
         access: ServerAccess,
         placement: ReadPlacement,
-        primaries: PrimaryPath[PooledHold],
+        primaries: PrimaryPath[LocalHeldConnection],
         counters: Counters,
         clock: Clock,
     ) -> None:
@@ -52,12 +52,12 @@
         """Serve one read.
 
         Raises:
-            NotServedError: no server took it.
+            NotServedError: no server ran it.
         """
         bound = self._placement.bound(request)
         if bound is None:
             return self._read_primary(request)
-        excluded = self._behind(request, bound)
+        excluded = self._lagging(request, bound)
         failed: Reply | None = None
         for number in range(MAX_READ_ATTEMPTS):
             server = self._placement.choose(request, excluded)
@@ -80,20 +80,20 @@
             return failed
         return self._read_primary(request)
 
-    def _behind(self, request: Request, bound: ReadBound) -> set[str]:
+    def _lagging(self, request: Request, bound: ReadBound) -> set[str]:
         try:
-            floor = self._access.floor(request.endpoint.group, bound)
+            min_position = self._access.min_position(request.endpoint.group, bound)
         except NotFreshError:
             return set()
-        return self._access.behind(floor)
+        return self._access.lagging(min_position)
 
     def _try(
         self, request: Request, server: BackendServer, number: int, bound: ReadBound
     ) -> Reply | None:
-        """Try one server; None where it gave no answer.
+        """Try one server; return None if it gave no answer.
 
         Raises:
-            NotFreshError: no position is known that meets the bound.
+            NotFreshError: no position is known that satisfies the bound.
         """
         now = self._clock.now()
         until = request.deadline
@@ -127,13 +127,14 @@
         return reply
 
     def _read_primary(self, request: Request) -> Reply:
-        """Read at the primary, inside a transaction that only it can begin.
+        """Read at the primary, inside a transaction that only the primary can begin.
 
-        A server that has lost its place goes on answering plain reads, with data
-        that lacks what was acknowledged since. It refuses a transaction, and each
-        statement of one that it began before.
+        A server that is no longer the primary still answers reads outside of
+        transactions, with data that lacks the commits acknowledged since. It refuses
+        to begin a read-write transaction and refuses every statement of one that it
+        began before.
         """
-        held, reply = self._primaries.run_repeatable(
+        held, reply = self._primaries.run_idempotent(
             request, lambda one: self._read_fenced(one, request)
         )
         held.finish(is_good=reply.state is not TransactionState.FAILED)
@@ -141,7 +142,7 @@
             self._counters.read_served(request.endpoint.group, by_primary=True)
         return reply
 
-    def _read_fenced(self, held: PooledHold, request: Request) -> Reply:
+    def _read_fenced(self, held: LocalHeldConnection, request: Request) -> Reply:
         now = self._clock.now()
         begun = self._access.begin_on_primary(held, request)
         if begun.error is not None:
--- a/packages/pooler/src/dogwoodspool_pooler/recovery.py
+++ b/packages/pooler/src/dogwoodspool_pooler/recovery.py
@@ -1,4 +1,4 @@
-"""Find out whether servers that gave trouble can be reached."""
+"""Probe servers that failed or are suspected until they can be reached."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -13,9 +13,9 @@
 
 
 class RecoveryProber(Coordinator):
-    """Try to connect to servers in trouble until they take a connection again.
+    """Probe suspected servers until they accept a connection again.
 
-    Servers that work are not probed: their answers to requests say enough.
+    Healthy servers are not probed: their replies to requests are evidence enough.
     """
 
     def __init__(
@@ -30,16 +30,16 @@
         self._registry = registry
         self._table = table
         self._lock = threading.Lock()
-        # How often each was suspected since it was last found well.
+        # How often each server was suspected since it was last found reachable.
         self._suspected: dict[str, int] = {}
         self._executor = ThreadPoolExecutor(RECOVERY_THREADS, "recovery-probe")
 
     def suspect(self, server: str) -> None:
-        """Try a server at once, or once more where it is being tried.
+        """Probe a server at once, or once more if it is being probed already.
 
-        A failure that comes in while a probe finds the server well may be noted after
-        the probe's end: without another probe it would stand for good, since a server
-        that counts as failing gets no statements that could show it works.
+        A failure that occurs while a probe succeeds may be recorded after the probe has
+        ended. Without another probe it would stay recorded for good: a server that
+        counts as failing gets no statements that could show that it works.
         """
         with self._lock:
             is_new = server not in self._suspected
@@ -48,13 +48,13 @@
             self.wake()
 
     def step(self) -> float:
-        """Try every server in trouble once."""
+        """Probe every suspected server once."""
         with self._lock:
             suspected = dict(self._suspected)
         servers = self._views.view.servers
         unknown = suspected.keys() - servers.keys()
         known = [servers[name] for name in sorted(suspected.keys() & servers.keys())]
-        reached = self._executor.map(self._try, known)
+        reached = self._executor.map(self._probe, known)
         ended = {
             server.name
             for server, is_reached in zip(known, reached, strict=True)
@@ -66,7 +66,7 @@
                     del self._suspected[name]
         return RECOVERY_PROBE_SECONDS
 
-    def _try(self, server: BackendServer) -> bool:
+    def _probe(self, server: BackendServer) -> bool:
         pool = self._registry.backend(server).pool
         deadline = self._clock.now() + RECOVERY_PROBE_SECONDS
         try:
--- a/packages/pooler/src/dogwoodspool_pooler/registry.py
+++ b/packages/pooler/src/dogwoodspool_pooler/registry.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One backend server with what bounds the work on it."""
+    """One backend server with its pool, admission queue and connection ceiling."""
 
     server: BackendServer
     pool: ConnectionPool[ServerConnection]
@@ -42,7 +42,7 @@
     ceiling: ConnectionCeiling
 
     def adjust(self) -> None:
-        """Put the present ceiling in force."""
+        """Apply the current ceiling to the pool and the admission queue."""
         limit = self.ceiling.value()
         if limit != self.pool.limit:
             self.pool.set_limit(limit)
@@ -52,7 +52,7 @@
 class BackendRegistry:
     """Keep a pool and an admission queue for each backend server.
 
-    A server that starts again is another process: connections to the one before
+    A restarted server is a different process, so the connections to its predecessor
     are dropped.
     """
 
@@ -70,8 +70,8 @@
         self._serving_since: float | None = None
 
     def set_up(self) -> None:
-        """Follow the view."""
-        self._views.add_listener(self._follow)
+        """Begin to apply new views."""
+        self._views.add_listener(self._apply_view)
 
     def unload(self) -> None:
         """Close idle connections."""
@@ -82,7 +82,7 @@
             backend.pool.unload()
 
     def backend(self, server: BackendServer) -> Backend:
-        """Return what bounds the work on a server."""
+        """Return the backend of a server, created if there is none for its process."""
         with self._lock:
             known = self._backends.get(server.name)
             if known is not None and _is_same_process(known.server, server):
@@ -94,7 +94,7 @@
         return backend
 
     def all(self) -> list[Backend]:
-        """Return all that are in use."""
+        """Return all backends in use."""
         with self._lock:
             return list(self._backends.values())
 
@@ -115,7 +115,7 @@
         connections = self._views.connections_of(server)
         return int((connections or DEFAULT_CONNECTIONS) * CONNECTION_SHARE)
 
-    def _follow(self, view: ProxyView) -> None:
+    def _apply_view(self, view: ProxyView) -> None:
         with self._lock:
             if self._serving_since is None:
                 self._serving_since = self._clock.now()
--- a/packages/pooler/src/dogwoodspool_pooler/reporting.py
+++ b/packages/pooler/src/dogwoodspool_pooler/reporting.py
@@ -1,4 +1,4 @@
-"""Tell control of servers that give trouble."""
+"""Report failing and stalled servers to control."""
 
 from dogwoodspool_api import ServerReport, ServerReports
 from dogwoodspool_api.const import PATH_REPORTS
@@ -20,17 +20,17 @@
     REPORT_SECONDS,
     REPORT_TIMEOUT,
 )
-from .stalls import StallBook
+from .stalls import StallTracker
 
 
 class ReportCoordinator(Coordinator):
-    """Report while there is trouble, and once more when it is over.
+    """Report servers while they fail or stall, and once more when they recovered.
 
-    Without trouble nothing is sent: at thousands of proxies steady reports would
-    be most of what the leader has to do.
+    Nothing is sent while all servers work: with thousands of proxies, periodic reports
+    would be most of the leader's load.
 
-    A server that may be in trouble has the leader asked as well: where neither answers,
-    this process is cut off itself, and has that to find out.
+    A server that is only suspected makes this process call the leader as well: if
+    neither of them answers, this process itself may be cut off and must find out.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         proxy: str,
         failure_domain: str,
         table: ServerTable,
-        stalls: StallBook,
+        stalls: StallTracker,
         peers: ControlPeers,
         client: JsonClient,
         clock: Clock,
@@ -56,13 +56,13 @@
         self._asked_at = NEVER
 
     def ask_control(self, *, at_most_every: float = 0.0) -> None:
-        """Have the control leader asked soon, with or without anything to report.
+        """Call the control leader soon, even if there is nothing to report.
 
-        One question at a time, and not sooner than reports follow each other: a server
-        that is slow for all its callers raises a doubt with each of them.
+        There is one call at a time, and no more often than reports are sent: a server
+        that is slow for all its callers becomes suspected with each of their requests.
 
         Args:
-            at_most_every: seconds from one question to the next.
+            at_most_every: least time in seconds from one call to the next.
         """
         now = self._clock.now()
         if self._must_ask or now - self._asked_at < at_most_every:
@@ -73,7 +73,7 @@
             self.wake()
 
     def step(self) -> float:
-        """Report once where there is something to report."""
+        """Send one report if there is something to report or a call was requested."""
         reports = self._reports()
         if not reports and not self._has_reported and not self._must_ask:
             return REPORT_CHECK_SECONDS
@@ -108,11 +108,11 @@
         return reports
 
     def _send(self, message: ServerReports) -> bool:
-        """Give a report to the leader; ask one process more where one is not it.
+        """Send a report to the leader, and on a refusal to one more process.
 
         Returns:
-            False where a process was waited for in vain, so that another may be asked
-            without a pause.
+            False if a process did not answer within the timeout, so that the next one
+            is to be tried without a full pause.
         """
         for _attempt in range(REPORT_ATTEMPTS):
             address = self._peers.leader_or_next()
--- a/packages/pooler/src/dogwoodspool_pooler/requests.py
+++ b/packages/pooler/src/dogwoodspool_pooler/requests.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the pooler."""
+"""A caller's request as the pooler processes it."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -11,15 +11,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceRequest:
-    """What decides how a request waits for a place on a server.
+class AdmissionRequest:
+    """How a request waits for admission to a server and for a connection.
 
     Attributes:
-        priority: who goes first; a lower number does.
-        values: the session's values, which a connection may hold already.
+        priority: priority of the request; lower numbers are admitted first.
+        values: the session's values; a connection that has them is preferred.
         start_by: clock time until which it may wait.
-        deadline: clock time from which an answer is of no use.
-        has_alternatives: another server may serve it as well.
+        deadline: clock time after which an answer is useless.
+        has_alternatives: whether another server can serve it as well.
     """
 
     priority: int
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A statement with all that decides where and how it runs.
+    """A statement with everything that determines where and how it runs.
 
     Attributes:
-        endpoint: what its database promises.
-        statement: what the caller sent.
+        endpoint: the endpoint of its database.
+        statement: the statement that the caller sent.
         values: the session's values.
-        prepared: what it executes, where it executes a prepared statement.
-        session_position: the session's last commit; None before the first.
-        arrived_at: clock seconds.
+        prepared: the prepared statement that it executes, if any.
+        session_position: position of the session's last commit; None before the first.
+        arrived_at: clock seconds at which it arrived.
     """
 
     endpoint: Endpoint
@@ -51,18 +51,18 @@
 
     @property
     def deadline(self) -> float:
-        """Clock time from which an answer is of no use."""
+        """Clock time after which an answer is useless."""
         return self.arrived_at + self.endpoint.deadline_ms / MILLISECONDS
 
     @property
     def start_by(self) -> float:
-        """Clock time until which it may wait for a place on a server."""
+        """Clock time until which it may wait for admission to a server."""
         target = min(self.endpoint.target_latency_ms, self.endpoint.deadline_ms)
         return self.arrived_at + target * WAIT_SHARE / MILLISECONDS
 
     @property
     def max_age(self) -> float | None:
-        """Greatest age of the data in seconds, where it is bounded."""
+        """Greatest age of the data in seconds; None if it is not bounded."""
         age_ms = self.endpoint.max_age_ms
         return None if age_ms is None else age_ms / MILLISECONDS
 
@@ -73,14 +73,14 @@
             return self.prepared.access is Access.WRITE
         return self.statement.kind is StatementKind.WRITE
 
-    def due_by(self, deadline: float) -> "Request":
-        """Return the same request with another deadline, clock seconds."""
+    def with_deadline(self, deadline: float) -> "Request":
+        """Return the request with another deadline, given in clock seconds."""
         deadline_ms = max(1, int((deadline - self.arrived_at) * MILLISECONDS))
         return replace(self, endpoint=replace(self.endpoint, deadline_ms=deadline_ms))
 
-    def place(self, *, has_alternatives: bool = False) -> PlaceRequest:
-        """Return what decides how it waits."""
-        return PlaceRequest(
+    def admission_request(self, *, has_alternatives: bool = False) -> AdmissionRequest:
+        """Return how the request waits for admission."""
+        return AdmissionRequest(
             priority=self.endpoint.priority,
             values=self.values,
             start_by=self.start_by,
--- a/packages/pooler/src/dogwoodspool_pooler/runtime.py
+++ b/packages/pooler/src/dogwoodspool_pooler/runtime.py
@@ -20,6 +20,7 @@
 from .const import WATCH_WAIT_MS
 from .expiry import ConnectionExpiry
 from .freshness import FreshnessTracker
+from .group_reachability import GroupReachability
 from .held import ConnectionAccess, HeldConnection
 from .known_primaries import KnownPrimaries
 from .lag import LagTracker
@@ -32,23 +33,24 @@
 from .session import PooledSession
 from .sessions import PooledSessions
 from .shared.runtime import SharedPoolsRuntime
-from .stalls import StallBook
-from .statements import OwnStatements
-from .surroundings import GroupSurroundings
+from .stalls import StallTracker
+from .statements import LocalStatements
 from .transactions import TransactionPath
 from .writes import WritePath
 
 
 class PoolerRuntime:
-    """Hold the parts of one proxy; the program gives it clock and connector.
+    """Create, start and stop the parts of one pooling proxy.
 
     Args:
         name: name of this instance.
-        failure_domain: where it runs.
-        failure_domains: how many there are.
-        address: where its routes are served for the system's other processes.
-        control: control processes that are known at the start.
+        failure_domain: failure domain that it runs in.
+        failure_domains: number of failure domains.
+        address: address at which the system's other processes reach its routes.
+        control: addresses of the control processes known at the start.
         connector: opens connections to backend servers.
+        client: calls control.
+        clock: source of time for all parts.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         self._registry = BackendRegistry(self._views, connector, clock)
         self._counters = Counters()
         self._recovery = RecoveryProber(self._views, self._registry, self._table, clock)
-        stalls, freshness = StallBook(clock), FreshnessTracker(clock)
+        stalls, freshness = StallTracker(clock), FreshnessTracker(clock)
         access = ServerAccess(
             self._registry,
             self._table,
@@ -82,7 +84,7 @@
         primaries = PrimaryPath(self._views, known, access, clock)
         placement = ReadPlacement(self._views, self._table, known, access)
         reads = ReadPath(access, placement, primaries, self._counters, clock)
-        statements = OwnStatements(reads, WritePath(primaries, access, clock))
+        statements = LocalStatements(reads, WritePath(primaries, access, clock))
         self._shared = SharedPoolsRuntime(
             Neighbour(name, str(address)),
             failure_domain,
@@ -95,12 +97,12 @@
             clock,
         )
         self._expiry = ConnectionExpiry(
-            self._registry, self._shared.is_handed_on, clock
+            self._registry, self._shared.is_forwarded, clock
         )
         self._sessions = PooledSessions(
             self._views,
             self._shared.statements,
-            self._transactions(self._shared.access, known, clock),
+            self._transaction_path(self._shared.access, known, clock),
             self._counters,
             clock,
         )
@@ -111,21 +113,21 @@
             name, failure_domain, self._table, stalls, self._peers, client, clock
         )
         self._rotation = Rotation(clock)
-        surroundings = GroupSurroundings(
+        reachability = GroupReachability(
             failure_domain, known, self._table, self._recovery, self._reports
         )
         self._rotation_watch = RotationCoordinator(
-            self._rotation, self._peers, surroundings, clock
+            self._rotation, self._peers, reachability, clock
         )
 
     @property
     def view_version(self) -> int:
-        """Version of the committed state in force here."""
+        """Version of the committed state that this process applies."""
         return self._views.view.version
 
     @property
     def open_sessions(self) -> int:
-        """Caller sessions that are open."""
+        """Number of open caller sessions."""
         return self._sessions.count
 
     @property
@@ -138,29 +140,29 @@
         return self._sessions.open(database)
 
     def answer_balancer(self) -> str | None:
-        """Return why the balancer should send no callers; None when it may."""
-        # Asked whatever else stands against callers: the rotation counts refusals.
+        """Return why the balancer should send no callers; None if it may send them."""
+        # Called even if there is no configuration: the rotation counts its refusals.
         takes_callers = self._rotation.answer_balancer()
         if not self._views.view.databases:
             return "no configuration"
         return None if takes_callers else "cut off"
 
     def move_callers(self, callers: Callers) -> None:
-        """Close idle connections of these callers when they are served elsewhere."""
+        """Close idle connections of these callers when they can be served elsewhere."""
         self._rotation_watch.follow(callers)
 
     def leave(self) -> None:
-        """Take no more requests of other proxies."""
+        """Stop accepting requests of other proxies, as the process ends soon."""
         self._shared.leave()
 
     @property
     def leased_connections(self) -> int:
-        """Connections that transactions of other proxies hold."""
+        """Number of connections that transactions of other proxies hold."""
         return self._shared.leases
 
     def set_up(self) -> None:
-        """Begin to follow control and to serve."""
-        self._views.add_listener(self._follow)
+        """Start to follow control's views and to serve."""
+        self._views.add_listener(self._apply_view)
         self._registry.set_up()
         self._expiry.set_up()
         self._watch.set_up()
@@ -171,7 +173,7 @@
         self._sessions.set_up()
 
     def unload(self) -> None:
-        """Stop; sessions that are open have ended before."""
+        """Stop all parts; open sessions must have ended before."""
         self._sessions.unload()
         self._rotation_watch.unload()
         self._reports.unload()
@@ -182,7 +184,7 @@
         self._registry.unload()
 
     def metrics(self) -> str:
-        """Return the metrics page."""
+        """Return the metrics in text form."""
         lines = [
             f"dogwoodspool_view_version {self.view_version}",
             f"dogwoodspool_sessions_open {self.open_sessions}",
@@ -199,7 +201,7 @@
             lines.append(f"dogwoodspool_statements_waiting{label} {waiting}")
         return self._counters.page() + "\n".join(lines) + "\n"
 
-    def _transactions(
+    def _transaction_path(
         self,
         access: ConnectionAccess[HeldConnection],
         known: KnownPrimaries,
@@ -210,11 +212,11 @@
         return TransactionPath(self._views, placement, primaries, access, clock)
 
     def _suspect(self, server: str) -> None:
-        """Ask both the server and control whether they can still be reached."""
+        """Probe the server and have control called, as either may be unreachable."""
         self._recovery.suspect(server)
         self._reports.ask_control()
 
-    def _follow(self, view: ProxyView) -> None:
+    def _apply_view(self, view: ProxyView) -> None:
         self._table.adopt_committed(view.servers.values())
         log_event(
             "view_in_force",
--- a/packages/pooler/src/dogwoodspool_pooler/server_work.py
+++ b/packages/pooler/src/dogwoodspool_pooler/server_work.py
@@ -1,4 +1,4 @@
-"""Tell what a server's answers say of its load."""
+"""Classify a server's replies by what they show of its load."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 from .models import ErrorCode, Reply, Statement, StatementKind
 
-# What takes a server's time. It answers everything else at once.
+# Statements that take a server's time; it answers all others at once.
 WORKING_KINDS: Final = frozenset(
     {
         StatementKind.READ,
@@ -25,8 +25,8 @@
 
     was_done: bool = False
 
-    def note(self, statements: Sequence[Statement], replies: Sequence[Reply]) -> None:
-        """Take in answers; those that come at once say nothing of its speed."""
+    def record(self, statements: Sequence[Statement], replies: Sequence[Reply]) -> None:
+        """Record replies; those to statements without work do not show its speed."""
         self.was_done = any(
             outcome_of(statement, reply) is AdmissionOutcome.ANSWERED
             for statement, reply in zip(statements, replies, strict=True)
@@ -34,7 +34,7 @@
 
 
 def outcome_of(statement: Statement, reply: Reply) -> AdmissionOutcome:
-    """Return what an answer means for the work that a server may be given.
+    """Return the admission outcome that a reply stands for.
 
     Example:
         >>> reply = Reply((), "", None, TransactionState.OPEN, None)
--- a/packages/pooler/src/dogwoodspool_pooler/session.py
+++ b/packages/pooler/src/dogwoodspool_pooler/session.py
@@ -38,8 +38,8 @@
 class PooledSession:
     """Serve one caller connection.
 
-    What a session sets and prepares is kept here and answered at once; servers
-    learn of it when a statement needs it.
+    The values and prepared statements of a session are kept here and acknowledged at
+    once; they are sent to a server only when a statement needs them.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
 
     @property
     def state(self) -> TransactionState:
-        """Where the session stands."""
+        """Transaction state of the session."""
         if self._transaction is None:
             return TransactionState.IDLE
         if self._transaction.has_failed:
@@ -74,7 +74,7 @@
         return TransactionState.OPEN
 
     def run(self, statement: Statement) -> Answer:
-        """Run one statement; every failure is part of the answer."""
+        """Run one statement; every failure is reported in the answer."""
         arrived_at = self._clock.now()
         with self._lock:
             answer = self._run(statement, arrived_at)
@@ -99,7 +99,7 @@
         return answer
 
     def close(self) -> None:
-        """Undo an open transaction and forget the session."""
+        """Roll back an open transaction and unregister the session."""
         with self._lock:
             if self._transaction is not None:
                 self._transactions.abort(self._transaction)
@@ -107,9 +107,9 @@
         self._on_close(self)
 
     def expire_transaction(self) -> None:
-        """Undo a transaction whose caller has done nothing for too long."""
+        """Roll back a transaction whose caller has been idle for too long."""
         if not self._lock.acquire(blocking=False):
-            return  # A statement runs; its own deadline bounds it.
+            return  # A statement is running, which its own deadline bounds.
         try:
             transaction = self._transaction
             if transaction is None or transaction.held is None:
@@ -142,7 +142,7 @@
         if kind is StatementKind.COMMIT:
             return self._commit(statement, arrived_at)
         if self.state is TransactionState.FAILED:
-            message = "the transaction has failed; end it first"
+            message = "the transaction has failed; roll it back first"
             return self._refuse(ErrorCode.MALFORMED, message)
         if kind in BEGINNING_KINDS:
             return self._begin(statement, arrived_at)
@@ -162,13 +162,13 @@
                 if self._state.prepared.pop(statement.name, None) is None:
                     return self._unknown_statement(statement)
             case _:
-                message = "not a statement of callers"
+                message = f"callers may not send a {statement.kind} statement"
                 return self._refuse(ErrorCode.MALFORMED, message)
         return Answer(self.state)
 
     def _begin(self, statement: Statement, arrived_at: float) -> Answer:
         if self._transaction is not None:
-            return self._refuse(ErrorCode.MALFORMED, "a transaction is open already")
+            return self._refuse(ErrorCode.MALFORMED, "a transaction is already open")
         endpoint = self._endpoint()
         if endpoint is None:
             return self._no_database()
@@ -190,7 +190,7 @@
         reply = self._transactions.commit(transaction, request)
         self._transaction = None
         if reply.error is None:
-            self._advance(transaction.endpoint, reply.position)
+            self._advance_position(transaction.endpoint, reply.position)
         return self._answer(reply)
 
     def _run_on_group(self, statement: Statement, arrived_at: float) -> Answer:
@@ -208,14 +208,14 @@
             return self._no_database()
         request = self._request(current, statement, prepared, arrived_at)
         try:
-            return self._answer(self._run_alone(request))
+            return self._answer(self._run_single(request))
         except NotServedError as error:
             return Answer(TransactionState.IDLE, error=error.error)
 
-    def _run_alone(self, request: Request) -> Reply:
+    def _run_single(self, request: Request) -> Reply:
         reply = self._statements.run(request)
         if request.writes and reply.error is None:
-            self._advance(request.endpoint, reply.position)
+            self._advance_position(request.endpoint, reply.position)
         return reply
 
     def _request(
@@ -237,7 +237,7 @@
     def _endpoint(self) -> Endpoint | None:
         return self._views.view.databases.get(self._database)
 
-    def _advance(self, endpoint: Endpoint, position: Position | None) -> None:
+    def _advance_position(self, endpoint: Endpoint, position: Position | None) -> None:
         if position is None or endpoint.consistency is Consistency.PRIMARY:
             return
         if self._position is None or position > self._position:
@@ -252,7 +252,7 @@
     def _unknown_statement(self, statement: Statement) -> Answer:
         if self._transaction is not None:
             self._transactions.abort(self._transaction)
-        message = f"no statement {statement.name} is prepared"
+        message = f"no statement is prepared under the name {statement.name}"
         return self._refuse(ErrorCode.UNKNOWN_STATEMENT, message)
 
     def _no_database(self) -> Answer:
--- a/packages/pooler/src/dogwoodspool_pooler/session_state.py
+++ b/packages/pooler/src/dogwoodspool_pooler/session_state.py
@@ -1,9 +1,9 @@
-"""Carry a session's values and prepared statements to whatever connection it gets.
+"""Apply a session's values and prepared statements to the connection it runs on.
 
-A session keeps what it set for as long as it lives, but it runs on another pooled
-connection with each transaction. Before a statement runs, the connection is brought
-to the session's state, with as few statements as that takes: none where it was last
-used in the same state.
+A session's state lasts as long as the session, but each of its transactions may run
+on another pooled connection. Before a statement runs, the connection is brought to
+the session's state with as few statements as possible: none if the connection was
+last used in the same state.
 """
 
 import hashlib
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class ConnectionState:
-    """What a pooled connection holds.
+    """Session state that is present on a pooled connection.
 
     Attributes:
         values: session values that are set on it.
-        prepared: statements that are prepared on it, under names of ours.
+        prepared: statements that are prepared on it under the pooler's names.
     """
 
     values: dict[str, str] = field(default_factory=dict)
     prepared: set[Prepared] = field(default_factory=set)
 
     def record(self, statement: Statement) -> None:
-        """Take in a statement that the server has carried out."""
+        """Record the effect of a statement that the server has run."""
         match statement.kind:
             case StatementKind.SET:
                 self.values[statement.name] = statement.argument
@@ -47,14 +47,14 @@
     prepared: dict[str, Prepared] = field(default_factory=dict)
 
 
-def server_name(prepared: Prepared) -> str:
-    """Return the name of a prepared statement on servers.
+def server_statement_name(prepared: Prepared) -> str:
+    """Return the name under which a statement is prepared on servers.
 
-    It follows from the content: callers' names collide, and sessions that prepare
-    the same share one statement of a connection.
+    The name is derived from the content: names chosen by callers collide, and sessions
+    that prepare the same statement share one prepared statement of a connection.
 
     Example:
-        >>> server_name(Prepared(Access.READ, "q2c"))[:2]
+        >>> server_statement_name(Prepared(Access.READ, "q2c"))[:2]
         'p_'
     """
     content = f"{prepared.access}\\0{prepared.shape}".encode()
@@ -62,18 +62,18 @@
     return f"p_{digest.hexdigest()}"
 
 
-def carry_over(
+def sync_statements(
     values: Mapping[str, str], connection: ConnectionState, prepared: Prepared | None
 ) -> list[Statement]:
     """Return the statements that bring a connection to a session's state.
 
-    A value that the session never set cannot be taken back alone, so that one
-    left over from another session costs a reset of the whole connection.
+    A single value cannot be unset, so a value that another session left on the
+    connection requires a reset of the whole connection.
 
     Args:
         values: the session's values.
-        connection: what the connection holds.
-        prepared: the statement that is to be executed on it, if any.
+        connection: the state that the connection has.
+        prepared: the prepared statement that will be executed on it, if any.
     """
     statements = []
     held = connection
@@ -89,7 +89,7 @@
         statements.append(
             Statement(
                 StatementKind.PREPARE,
-                name=server_name(prepared),
+                name=server_statement_name(prepared),
                 argument=prepared.shape,
                 access=prepared.access,
             )
@@ -97,23 +97,23 @@
     return statements
 
 
-def carry_over_cost(values: Mapping[str, str], connection: ConnectionState) -> int:
-    """Return how much a connection differs from a session's values.
+def sync_cost(values: Mapping[str, str], connection: ConnectionState) -> int:
+    """Return the relative cost of bringing a connection to a session's values.
 
     Example:
-        >>> carry_over_cost({}, ConnectionState())
+        >>> sync_cost({}, ConnectionState())
         0
     """
     foreign = sum(1 for name in connection.values if name not in values)
     missing = sum(
         1 for name, value in values.items() if connection.values.get(name) != value
     )
-    # A reset drops the prepared statements, too, so it counts for more.
+    # A reset also drops the prepared statements, so it adds 2 to the cost.
     return missing + (len(values) + 2 if foreign else 0)
 
 
-def on_server(statement: Statement, prepared: Prepared | None) -> Statement:
-    """Return a caller's statement with the server's name for what it executes."""
+def with_server_name(statement: Statement, prepared: Prepared | None) -> Statement:
+    """Return a caller's statement under the name its prepared statement has there."""
     if prepared is None:
         return statement
-    return replace(statement, name=server_name(prepared))
+    return replace(statement, name=server_statement_name(prepared))
--- a/packages/pooler/src/dogwoodspool_pooler/sessions.py
+++ b/packages/pooler/src/dogwoodspool_pooler/sessions.py
@@ -1,4 +1,4 @@
-"""The caller connections of this process."""
+"""The caller sessions of this process."""
 
 from dogwoodspool_common import Clock
 from dogwoodspool_common.counters import Counters
@@ -30,19 +30,19 @@
         self._first_view_due = clock.now() + FIRST_VIEW_DUE_SECONDS
 
     def open(self, database: str) -> PooledSession:
-        """Return a session at a database.
+        """Return a new session at a database.
 
-        After a start it waits a little for the first view. When all processes start
-        together after a loss of power, callers who are refused at once spend their
-        attempts on one proxy after the other before any of them can serve.
+        Shortly after its start the process lets callers wait for the first view. When
+        all proxies start together after a power loss, callers that are refused at once
+        would use up their attempts on one proxy after another before any can serve.
 
         Raises:
-            NotReadyError: what there is is not known yet.
+            NotReadyError: no view has arrived, so the databases are not known yet.
             NoDatabaseError: there is no such database.
         """
         remaining = self._first_view_due - self._clock.now()
         if not self._views.wait_filled(min(remaining, FIRST_VIEW_WAIT_SECONDS)):
-            raise NotReadyError("this proxy has just started")
+            raise NotReadyError("this proxy has no configuration from control yet")
         if database not in self._views.view.databases:
             raise NoDatabaseError(f"there is no database {database}")
         session = PooledSession(
--- a/packages/pooler/src/dogwoodspool_pooler/shared/__init__.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/__init__.py
@@ -1,1 +1,1 @@
-"""Run requests on the pools of other proxies, and theirs on the own ones."""
+"""Run requests on the pools of other proxies, and their requests on local pools."""
--- a/packages/pooler/src/dogwoodspool_pooler/shared/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/access.py
@@ -1,4 +1,4 @@
-"""Open transactions at the owners of their groups' pools."""
+"""Provide transactions with connections at the owners of their groups' pools."""
 
 from dogwoodspool_common import BackendServer, Position
 from dogwoodspool_sharing import ProxyDirectory
@@ -8,19 +8,19 @@
 from ..models import Reply
 from ..requests import Request
 from .owner_client import OwnerClient
-from .remote import RemoteHold
+from .remote_connection import RemoteHeldConnection
 
 
 class SharingAccess:
-    """Give transactions connections of this process or of an owner.
+    """Provide connections of this process or of an owner.
 
-    See ``ConnectionAccess``.
+    Implements ``ConnectionAccess``.
     """
 
     def __init__(
-        self, own: ServerAccess, directory: ProxyDirectory, client: OwnerClient
+        self, local: ServerAccess, directory: ProxyDirectory, client: OwnerClient
     ) -> None:
-        self._own = own
+        self._local = local
         self._directory = directory
         self._client = client
 
@@ -34,21 +34,21 @@
         """Return a connection; nothing is sent to an owner before its first use."""
         owners = self._directory.owners(server.group)
         if owners is None:
-            return self._own.open(server, request, has_alternatives=has_alternatives)
-        return RemoteHold(server, request, owners, self._own, self._client)
+            return self._local.open(server, request, has_alternatives=has_alternatives)
+        return RemoteHeldConnection(server, request, owners, self._local, self._client)
 
     def begin_on_primary(self, held: HeldConnection, request: Request) -> Reply:
-        """Begin a transaction, which only a server that leads does."""
-        return self._own.begin_on_primary(held, request)
+        """Begin a read-write transaction, which only the acting primary accepts."""
+        return self._local.begin_on_primary(held, request)
 
-    def may_be_fresh(self, group: str, bound: ReadBound) -> bool:
-        """Tell whether a position that meets a bound may be known where it runs."""
+    def can_satisfy(self, group: str, bound: ReadBound) -> bool:
+        """Return whether the serving process may know a position within a bound."""
         if self._directory.owners(group) is not None:
             return True
-        return self._own.may_be_fresh(group, bound)
+        return self._local.can_satisfy(group, bound)
 
-    def note_fresh(
+    def record_freshness(
         self, server: BackendServer, position: Position | None, asked_at: float
     ) -> None:
-        """Take in how far a primary was that surely held its place."""
-        self._own.note_fresh(server, position, asked_at)
+        """Record a log position of a server that was certainly the primary then."""
+        self._local.record_freshness(server, position, asked_at)
--- a/packages/pooler/src/dogwoodspool_pooler/shared/const.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/const.py
@@ -2,31 +2,32 @@
 
 from typing import Final
 
-# Paths of the endpoints at which an owner of pools takes requests of its neighbours.
+# Paths of the endpoints at which an owner of pools accepts its neighbours' requests.
 PATH_STATEMENT: Final = "/v1/pools/statement"
 PATH_TRANSACTION: Final = "/v1/pools/transaction"
 PATH_RELEASE: Final = "/v1/pools/release"
 
-# Requests of neighbours, beside those of open transactions, that an owner works on at a
-# time: above what it may have in flight on the servers of a few groups.
+# Requests of neighbours, not counting those of open transactions, that an owner serves
+# at a time: more than it may have in flight on the servers of a few groups.
 NEW_REQUESTS: Final = 48
-# The neighbours are in one's own failure domain, tenths of a millisecond away.
+# Neighbours are in the same failure domain, tenths of a millisecond away.
 OWNER_CONNECT_TIMEOUT: Final = 0.15
-# Time in which an owner's machine acknowledges a request, also while the owner waits
-# for a server: above one lost packet's second transmission (0.2 s).
+# Time within which an owner's machine must acknowledge a request, also while the owner
+# waits for a server: longer than the retransmission of one lost packet takes (0.2 s).
 OWNER_UNACKNOWLEDGED_MS: Final = 250
-# Part of a request's time that is left for the way to the owner and back.
+# Time of a request that is reserved for the round trip to the owner.
 HOP_SECONDS: Final = 0.03
-# Part of a read's remaining time that an owner gets: time must be left to read without
-# it where it was lost.
+# Part of a read's remaining time that an owner gets: if the owner is lost, time must be
+# left to read without it.
 OWNER_READ_SHARE: Final = 0.75
 RELEASE_TIMEOUT: Final = 0.2
-# Connections to one owner that are kept open.
+# Number of connections to one owner that are kept open.
 CONNECTIONS_TO_OWNER: Final = 8
 
-# A transaction whose proxy was lost ends so long after the proxy should have ended it.
+# Time by which an owner waits longer than the transaction's own proxy before it ends an
+# idle transaction, which happens only if that proxy was lost.
 LEASE_MARGIN_SECONDS: Final = 1.0
-LEASE_LOOK_SECONDS: Final = 0.25
+LEASE_CHECK_SECONDS: Final = 0.25
 
-# Attempts on an idle pooled connection, which may have ended unnoticed.
+# Attempts to begin a transaction: an idle pooled connection may have ended unnoticed.
 OWNER_ATTEMPTS: Final = 2
--- a/packages/pooler/src/dogwoodspool_pooler/shared/errors.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/errors.py
@@ -6,34 +6,35 @@
 
 
 class OwnerUnavailableError(PoolerError):
-    """Report that an owner did not take a request: nothing was sent to a server."""
+    """Report that an owner did not accept a request: nothing was sent to a server."""
 
 
 class OwnerSilentError(OutcomeUnknownError):
-    """Report that an owner took a request and gave no answer.
+    """Report that an owner accepted a request and did not answer it.
 
-    It says nothing about the server's health.
+    This is no evidence about the health of the backend server.
     """
 
     suggests_unreachable = False
 
 
 class OwnerLeavingError(OwnerUnavailableError):
-    """Report that an owner's process ends soon."""
+    """Report that an owner refused a request because its process is shutting down."""
 
 
 class OwnerFullError(OwnerUnavailableError):
-    """Report that an owner has as many requests as it works on at a time."""
+    """Report that an owner already serves its maximum number of new requests."""
 
 
 class UnknownLeaseError(PoolerError):
-    """Report that an owner does not hold a lease: it ended, or the process did."""
+    """Report that an owner does not hold a lease: it expired or the owner restarted."""
 
 
 class LeaseLostError(ConnectFailedError):
     """Report that an owner no longer holds a transaction's connection.
 
-    The server has undone the transaction, or does so when the owner's connection ends.
+    The server has rolled the transaction back, or does so when the owner's connection
+    to it ends.
     """
 
     suggests_unreachable = False
--- a/packages/pooler/src/dogwoodspool_pooler/shared/group_limits.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/group_limits.py
@@ -1,28 +1,28 @@
-"""Tell the directory what each group's servers take."""
+"""Keep the directory informed of the limits of each group's servers."""
 
 from dogwoodspool_following import ProxyView, ViewStore
 from dogwoodspool_sharing import ProxyDirectory, ServerLimits
 
 
 class GroupLimits:
-    """Keep the directory at the groups and server limits of the newest view."""
+    """Update the directory with the groups and server limits of each new view."""
 
     def __init__(self, directory: ProxyDirectory, views: ViewStore) -> None:
         self._directory = directory
         self._views = views
 
     def set_up(self) -> None:
-        """Follow the view."""
-        self._views.add_listener(self._follow)
+        """Begin to apply new views."""
+        self._views.add_listener(self._apply_view)
 
-    def _follow(self, view: ProxyView) -> None:
-        taken: dict[str, ServerLimits] = {}
+    def _apply_view(self, view: ProxyView) -> None:
+        limits: dict[str, ServerLimits] = {}
         for server in view.servers.values():
             connections = self._views.connections_of(server)
             if connections:
-                least = taken.get(server.group)
-                taken[server.group] = ServerLimits(
+                least = limits.get(server.group)
+                limits[server.group] = ServerLimits(
                     min(server.slots, least.slots if least else server.slots),
                     min(connections, least.connections if least else connections),
                 )
-        self._directory.set_groups(taken)
+        self._directory.set_groups(limits)
--- a/packages/pooler/src/dogwoodspool_pooler/shared/leases.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/leases.py
@@ -1,4 +1,4 @@
-"""The connections that transactions of other proxies hold at their owner."""
+"""Connections that an owner keeps for transactions of other proxies."""
 
 import secrets
 import threading
@@ -8,27 +8,27 @@
 from dogwoodspool_common import Clock, log_rate_limited
 from dogwoodspool_following import Coordinator
 
-from ..pooled_hold import PooledHold
-from .const import LEASE_LOOK_SECONDS, LEASE_MARGIN_SECONDS
+from ..local_connection import LocalHeldConnection
+from .const import LEASE_CHECK_SECONDS, LEASE_MARGIN_SECONDS
 
 LEASE_BYTES = 8
 
 
 @dataclass(slots=True)
 class _Lease:
-    held: PooledHold
+    held: LocalHeldConnection
     idle_since: float
 
 
-class LeaseBook:
+class LeaseTracker:
     """Keep connections between two statements of a transaction.
 
-    The proxy that began the transaction ends it, also when its caller does nothing for
-    too long. One that is lost says nothing more, and its transactions would keep
-    connections and locks: so each lease ends by itself a little later.
+    The proxy that began a transaction ends it, also if its caller stays idle for too
+    long. A proxy that was lost cannot do so, and its transactions would keep their
+    connections and locks, so each lease expires on its own a little later.
 
     Args:
-        idle_limit: seconds for which a transaction of a group may do nothing.
+        idle_limit: returns the seconds for which a group's transactions may be idle.
     """
 
     def __init__(self, idle_limit: Callable[[str], float], clock: Clock) -> None:
@@ -39,25 +39,25 @@
 
     @property
     def count(self) -> int:
-        """Connections that are kept."""
+        """Number of leased connections."""
         with self._lock:
             return len(self._leases)
 
-    def put(self, held: PooledHold, lease: str | None = None) -> str:
-        """Keep a connection; return the name under which it is taken again."""
+    def put(self, held: LocalHeldConnection, lease: str | None = None) -> str:
+        """Keep a connection and return the name of its lease."""
         name = lease or secrets.token_hex(LEASE_BYTES)
         with self._lock:
             self._leases[name] = _Lease(held, self._clock.now())
         return name
 
-    def take(self, lease: str) -> PooledHold | None:
-        """Take a connection out; None where it is not kept any more."""
+    def take(self, lease: str) -> LocalHeldConnection | None:
+        """Remove and return a lease's connection; None if the lease has ended."""
         with self._lock:
             found = self._leases.pop(lease, None)
         return None if found is None else found.held
 
     def end_expired(self) -> None:
-        """End the transactions that have done nothing for too long."""
+        """End the transactions that have been idle for too long."""
         now = self._clock.now()
         with self._lock:
             ended = {
@@ -76,13 +76,13 @@
 
 
 class LeaseExpiry(Coordinator):
-    """End the leases of proxies that were lost."""
+    """Expire the leases of proxies that were lost."""
 
-    def __init__(self, leases: LeaseBook, clock: Clock) -> None:
+    def __init__(self, leases: LeaseTracker, clock: Clock) -> None:
         super().__init__("lease-expiry", clock)
         self._leases = leases
 
     def step(self) -> float:
-        """Look once."""
+        """Check all leases once."""
         self._leases.end_expired()
-        return LEASE_LOOK_SECONDS
+        return LEASE_CHECK_SECONDS
--- a/packages/pooler/src/dogwoodspool_pooler/shared/messages.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/messages.py
@@ -1,4 +1,4 @@
-"""Messages between a proxy and the owner of a pool."""
+"""Messages between a proxy and the owner of a group's pools."""
 
 from enum import StrEnum
 from typing import Self
@@ -28,13 +28,13 @@
 
 
 class OwnerRefusal(StrEnum):
-    """Why an owner does not take a request; nothing of it ran.
+    """Why an owner did not accept a request, of which nothing ran.
 
     Attributes:
-        LEAVING: its process ends soon.
-        NOT_KNOWN: its view has no such group or server, or not the same process.
-        FULL: it works on as many new requests as it can.
-        UNKNOWN_LEASE: it holds no connection under that name.
+        LEAVING: its process is shutting down.
+        NOT_KNOWN: its view lacks the group or server, or has another incarnation of it.
+        FULL: it already serves its maximum number of new requests.
+        UNKNOWN_LEASE: it holds no connection under that lease.
     """
 
     LEAVING = "leaving"
@@ -55,7 +55,7 @@
 
     @classmethod
     def of(cls, statement: Statement) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         return cls(
             kind=statement.kind,
             request_id=statement.request_id,
@@ -66,7 +66,7 @@
         )
 
     def value(self) -> Statement:
-        """Return the inner value."""
+        """Return the domain object."""
         return Statement(
             self.kind,
             self.request_id,
@@ -78,40 +78,40 @@
 
 
 class PreparedMessage(Message):
-    """What a prepared statement does; see ``Prepared``."""
+    """Content of a prepared statement; see ``Prepared``."""
 
     access: Access
     shape: str
 
     @classmethod
     def of(cls, prepared: Prepared) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         return cls(access=prepared.access, shape=prepared.shape)
 
     def value(self) -> Prepared:
-        """Return the inner value."""
+        """Return the domain object."""
         return Prepared(self.access, self.shape)
 
 
 class BoundMessage(Message):
-    """What a read must reflect; see ``ReadBound``."""
+    """What the data of a read must reflect; see ``ReadBound``."""
 
     max_age: float = Field(ge=0)
     at_least: PositionMessage | None = None
 
     @classmethod
     def of(cls, bound: ReadBound) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         return cls(max_age=bound.max_age, at_least=_position_message(bound.at_least))
 
     def value(self) -> ReadBound:
-        """Return the inner value."""
+        """Return the domain object."""
         at_least = None if self.at_least is None else self.at_least.value()
         return ReadBound(self.max_age, at_least)
 
 
 class ServerIdentity(Message):
-    """The very process of a backend server that is meant."""
+    """One process of a backend server, as opposed to those after a restart."""
 
     server: Name
     address: HostPort
@@ -119,7 +119,7 @@
 
     @classmethod
     def of(cls, server: BackendServer) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         return cls(
             server=server.name,
             address=str(server.address),
@@ -128,13 +128,13 @@
 
 
 class StatementRequest(Message):
-    """One statement that an owner shall serve as if its own caller had sent it.
+    """One statement that an owner serves as if one of its own callers had sent it.
 
     Attributes:
-        endpoint: what the caller's database promises.
+        endpoint: endpoint of the caller's database.
         values: the session's values.
-        session_position: the session's last commit; None before the first.
-        elapsed: seconds since the caller sent it.
+        session_position: position of the session's last commit; None before the first.
+        elapsed: seconds since the statement arrived at the sender.
     """
 
     endpoint: EndpointMessage
@@ -146,7 +146,7 @@
 
     @classmethod
     def of(cls, request: Request, now: float) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         return cls(
             endpoint=EndpointMessage.of(request.endpoint),
             statement=StatementMessage.of(request.statement),
@@ -157,7 +157,7 @@
         )
 
     def value(self, now: float) -> Request:
-        """Return the inner value."""
+        """Return the domain object."""
         position = self.session_position
         return Request(
             endpoint=self.endpoint.value(),
@@ -170,16 +170,17 @@
 
 
 class TransactionRequest(Message):
-    """One statement of a transaction, for a connection that the owner keeps for it.
+    """One statement of a transaction, for the connection that the owner keeps for it.
 
     Attributes:
-        is_order: it is one of the pooler's own and carries no session state.
+        is_order: whether the pooler itself issued it, so that it needs no session
+            state.
         values: the session's values.
-        bound: what the server must reflect, where it may be any.
-        lease: the connection that the transaction holds; None before its first answer.
-        priority: who goes first; a lower number does.
-        wait: seconds for which it may wait for a place.
-        answer: seconds for which the server's answer may take.
+        bound: what the server must reflect; None if only the primary may serve it.
+        lease: lease of the transaction's connection; None before its first reply.
+        priority: priority of the request; lower numbers are admitted first.
+        wait: seconds for which it may wait for admission.
+        answer: seconds that the server may take to reply.
     """
 
     server: ServerIdentity
@@ -203,7 +204,7 @@
 
     @classmethod
     def of(cls, error: StatementError) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         return cls(
             code=error.code,
             message=error.message,
@@ -211,12 +212,12 @@
         )
 
     def value(self) -> StatementError:
-        """Return the inner value."""
+        """Return the domain object."""
         return StatementError(self.code, self.message, self.retry_after_ms)
 
 
 class ReplyMessage(Message):
-    """A server's answer; see ``Reply``."""
+    """A server's reply to one statement; see ``Reply``."""
 
     rows: list[str]
     proof: str
@@ -226,7 +227,7 @@
 
     @classmethod
     def of(cls, reply: Reply) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from the domain object."""
         error = reply.error
         return cls(
             rows=list(reply.rows),
@@ -237,22 +238,22 @@
         )
 
     def value(self) -> Reply:
-        """Return the inner value."""
+        """Return the domain object."""
         error = None if self.error is None else self.error.value()
         position = None if self.position is None else self.position.value()
         return Reply(tuple(self.rows), self.proof, error, self.state, position)
 
 
 class Failure(StrEnum):
-    """Why an owner has no answer of the server.
+    """Why an owner has no reply from the server.
 
     Attributes:
-        REFUSED: the request found no place or connection; it did not run.
-        NOT_FRESH: no position is known that meets its bound; it did not run.
-        NOT_REACHED: no connection came up; it did not run.
+        REFUSED: the request got no slot or connection; it did not run.
+        NOT_FRESH: no position is known that satisfies its bound; it did not run.
+        NOT_REACHED: no connection could be opened; it did not run.
         DOWN: the server's machine refused the connection; it did not run.
-        ENDED: its transaction's connection had ended; the server undoes it.
-        UNANSWERED: it was sent and no complete answer came.
+        ENDED: the transaction's connection had ended; the server rolls it back.
+        UNANSWERED: it was sent and no complete reply arrived.
     """
 
     REFUSED = "refused"
@@ -264,10 +265,11 @@
 
 
 class StatementResponse(Message):
-    """What became of a statement: a reply, or why it did not run.
+    """Outcome of a statement: a reply, or why it did not run.
 
     Attributes:
-        has_no_primary: the owner reaches no server that leads; the asker may.
+        has_no_primary: whether it did not run because the owner cannot reach the
+            primary; the sender may be able to.
     """
 
     reply: ReplyMessage | None = None
@@ -276,11 +278,11 @@
 
 
 class TransactionResponse(Message):
-    """What became of a transaction's statement: a reply, or why there is none.
+    """Outcome of a transaction's statement: a reply, or why there is none.
 
     Attributes:
-        refusal: what the caller is told, of a failure of that kind.
-        lease: the connection that its transaction holds; None without a transaction.
+        refusal: the error for the caller, if the failure is ``REFUSED``.
+        lease: lease of the transaction's connection; None if no transaction is open.
     """
 
     reply: ReplyMessage | None = None
@@ -291,14 +293,14 @@
 
 
 class ReleaseLease(Message):
-    """A transaction needs its connection no more."""
+    """Release of a connection that a transaction no longer needs."""
 
     lease: str
     is_good: bool
 
 
 def prepared_message(prepared: Prepared | None) -> PreparedMessage | None:
-    """Return the message for what a statement executes, if anything."""
+    """Return the message for the prepared statement to execute, if any."""
     return None if prepared is None else PreparedMessage.of(prepared)
 
 
--- a/packages/pooler/src/dogwoodspool_pooler/shared/owner_client.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/owner_client.py
@@ -1,4 +1,4 @@
-"""Ask the owners of pools."""
+"""Client for the owners of pools."""
 
 from typing import Any, Protocol, TypeVar
 
@@ -27,17 +27,17 @@
 
 
 class MessageClient(Protocol):
-    """Send one message to a peer and return its answer; see ``JsonLineClient``."""
+    """Interface that sends a message and returns the answer; see ``JsonLineClient``."""
 
     def post(
         self, address: Address, path: str, body: dict[str, Any], timeout: float
     ) -> dict[str, Any]:
-        """Send a message once."""
+        """Send a message once, without retries."""
         ...
 
 
 class OwnerClient:
-    """Send a request to one owner, and tell what its failure means."""
+    """Send requests to single owners and map their failures to errors."""
 
     def __init__(self, directory: ProxyDirectory, client: MessageClient) -> None:
         self._directory = directory
@@ -54,9 +54,9 @@
         """Send a request and return the answer.
 
         Raises:
-            OwnerUnavailableError: it was not taken; nothing ran.
+            OwnerUnavailableError: the owner did not accept it; nothing ran.
             UnknownLeaseError: the owner does not hold its lease; nothing ran.
-            OwnerSilentError: it may have run.
+            OwnerSilentError: the owner did not answer it; it may have run.
         """
         content = request.model_dump(mode="json", exclude_defaults=True)
         try:
@@ -71,13 +71,13 @@
             raise self._silent(owner, error) from error
 
     def release(self, owner: Neighbour, lease: str, *, is_good: bool) -> None:
-        """Give a lease back."""
+        """Release a lease."""
         message = ReleaseLease(lease=lease, is_good=is_good)
         content = message.model_dump(mode="json")
         try:
             self._client.post(owner.endpoint, PATH_RELEASE, content, RELEASE_TIMEOUT)
         except (PeerUnreachableError, PeerRefusedError) as error:
-            # The owner ends the lease by itself a little later.
+            # The owner expires the lease on its own a little later.
             log_rate_limited("release_failed", owner=owner.name, reason=error)
 
     def _refusal(self, owner: Neighbour, error: PeerRefusedError) -> Exception:
@@ -86,7 +86,8 @@
             case OwnerRefusal.LEAVING:
                 return self._unavailable(owner, error)
             case OwnerRefusal.NOT_KNOWN:
-                # One of both has not heard of a change that the other knows.
+                # One of the two processes has an older view, so the owner is not marked
+                # as failed.
                 return OwnerUnavailableError(text)
             case OwnerRefusal.FULL:
                 return OwnerFullError(text)
--- a/packages/pooler/src/dogwoodspool_pooler/shared/remote.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/remote_connection.py
@@ -1,4 +1,4 @@
-"""A connection that an owner keeps for a transaction of this process."""
+"""Connection at an owner that is held for a transaction of this process."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -30,16 +30,16 @@
 )
 from .owner_client import OwnerClient
 
-# Runs a statement on a connection of this process.
-Perform = Callable[[HeldConnection], Reply]
+# Runs a statement on a local connection once no owner could be reached.
+LocalRun = Callable[[HeldConnection], Reply]
 
 
-class RemoteHold:
-    """Stand for a connection of an owner; see ``HeldConnection``.
+class RemoteHeldConnection:
+    """A connection at an owner; implements ``HeldConnection``.
 
-    An owner that cannot be reached has not run anything, and the next one is asked; in
-    the end a connection of this process serves. Once an owner has begun the
-    transaction, all of it runs there.
+    An owner that cannot be reached has not run anything, so the next one is tried, and
+    after the last one a local connection is used. Once an owner has begun the
+    transaction, all of its statements run there.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._client = client
         self._owner: Neighbour | None = None
         self._lease: str | None = None
-        self._own: HeldConnection | None = None
+        self._local: HeldConnection | None = None
 
     @property
     def server(self) -> BackendServer:
@@ -66,9 +66,9 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether a transaction is open on it."""
-        if self._own is not None:
-            return self._own.in_transaction
+        """Return whether a transaction is open on it."""
+        if self._local is not None:
+            return self._local.in_transaction
         return self._lease is not None
 
     def run(
@@ -78,22 +78,22 @@
         prepared: Prepared | None,
         deadline: float,
     ) -> Reply:
-        """Run one statement in a session's state."""
+        """Run one statement with a session's values and prepared statement."""
         message = self._message(statement, deadline).model_copy(
             update={"values": dict(values), "prepared": prepared_message(prepared)}
         )
         return self._perform(
-            message, lambda own: own.run(values, statement, prepared, deadline)
+            message, lambda local: local.run(values, statement, prepared, deadline)
         )
 
-    def order(
+    def run_internal(
         self,
         statement: Statement,
         deadline: float,
         *,
         bound: ReadBound | None = None,
     ) -> Reply:
-        """Run one of the pooler's own statements."""
+        """Run a statement that the pooler itself issues, such as a begin."""
         message = self._message(statement, deadline).model_copy(
             update={
                 "is_order": True,
@@ -102,13 +102,13 @@
             }
         )
         return self._perform(
-            message, lambda own: own.order(statement, deadline, bound=bound)
+            message, lambda local: local.run_internal(statement, deadline, bound=bound)
         )
 
     def finish(self, *, is_good: bool) -> None:
-        """Give connection and place back; finishing again does nothing."""
-        if self._own is not None:
-            self._own.finish(is_good=is_good)
+        """Release the connection and its admission; repeated calls do nothing."""
+        if self._local is not None:
+            self._local.finish(is_good=is_good)
         lease, self._lease = self._lease, None
         if lease is not None and self._owner is not None:
             self._client.release(self._owner, lease, is_good=is_good)
@@ -117,7 +117,7 @@
         now = self._access.now()
         answer = deadline - now - HOP_SECONDS
         if answer <= 0:
-            raise DeadlinePassedError("the deadline passed before anything was sent")
+            raise DeadlinePassedError("the deadline passed before the request was sent")
         return TransactionRequest(
             server=ServerIdentity.of(self._server),
             statement=StatementMessage.of(statement),
@@ -127,9 +127,9 @@
             answer=answer,
         )
 
-    def _perform(self, message: TransactionRequest, on_own: Perform) -> Reply:
-        if self._own is not None:
-            return on_own(self._own)
+    def _perform(self, message: TransactionRequest, run_locally: LocalRun) -> Reply:
+        if self._local is not None:
+            return run_locally(self._local)
         if self._owner is not None and self._lease is not None:
             return self._continue(self._owner, message)
         for owner in self._owners:
@@ -137,8 +137,10 @@
                 return self._ask(owner, message, message.wait + message.answer)
             except OwnerUnavailableError:
                 continue
-        self._own = self._access.open_here(self._server, self._request.place())
-        return on_own(self._own)
+        self._local = self._access.open_local(
+            self._server, self._request.admission_request()
+        )
+        return run_locally(self._local)
 
     def _continue(self, owner: Neighbour, message: TransactionRequest) -> Reply:
         try:
@@ -150,7 +152,7 @@
         self, owner: Neighbour, message: TransactionRequest, seconds: float
     ) -> Reply:
         self._owner, self._lease = owner, None
-        with self._access.observed(self._server) as work:
+        with self._access.count_in_flight(self._server) as work:
             response = self._client.ask(
                 owner,
                 PATH_TRANSACTION,
@@ -161,14 +163,14 @@
             if response.reply is None:
                 raise self._failure(response, message)
             reply = response.reply.value()
-            work.note([message.statement.value()], [reply])
+            work.record([message.statement.value()], [reply])
         self._lease = response.lease
         return reply
 
     def _failure(
         self, response: TransactionResponse, message: TransactionRequest
     ) -> Exception:
-        """Return the error for what the owner says, and take in what it shows."""
+        """Return the error for an owner's answer and record what it shows."""
         text = f"{self._server.name}: {response.message}"
         match response.failure:
             case Failure.REFUSED if response.refusal is not None:
@@ -181,10 +183,10 @@
                 return LeaseLostError(text)
             case Failure.UNANSWERED:
                 unanswered = OutcomeUnknownError(text)
-                self._access.note_trouble(self._server, unanswered)
+                self._access.record_no_answer(self._server, unanswered)
                 return unanswered
         failed: ConnectFailedError = ServerNotReachedError(text)
         if response.failure is Failure.DOWN:
             failed = ServerDownError(text)
-        self._access.note_unreachable(self._server, failed)
+        self._access.record_unreachable(self._server, failed)
         return failed
--- a/packages/pooler/src/dogwoodspool_pooler/shared/runtime.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/runtime.py
@@ -1,4 +1,4 @@
-"""Wire together what shares pools among the proxies of a failure domain."""
+"""Wire the parts together that share pools among the proxies of a failure domain."""
 
 from dogwoodspool_common import Clock, JsonClient, JsonLineClient, Route
 from dogwoodspool_common.const import MILLISECONDS
@@ -15,7 +15,7 @@
     OWNER_UNACKNOWLEDGED_MS,
 )
 from .group_limits import GroupLimits
-from .leases import LeaseBook, LeaseExpiry
+from .leases import LeaseExpiry, LeaseTracker
 from .owner_client import OwnerClient
 from .slots import WorkSlots
 from .statement_api import StatementApi
@@ -24,14 +24,18 @@
 
 
 class SharedPoolsRuntime:
-    """Hold the parts by which a proxy uses its neighbours' pools, and they its own.
+    """Create, start and stop the parts that share pools with the neighbours.
 
     Args:
         own: this process.
+        failure_domain: failure domain that it runs in.
+        failure_domains: number of failure domains.
         peers: control processes in the order of the failure domain.
-        access: the own pools.
-        statements: serves single statements on the own pools.
+        views: the views from control.
+        access: access to the local pools.
+        statements: serves single statements on the local pools.
         client: calls control.
+        clock: source of time for all parts.
     """
 
     def __init__(
@@ -51,7 +55,7 @@
         self._presence = PresenceCoordinator(
             own, failure_domain, self._directory, peers, client, clock
         )
-        self._leases = LeaseBook(self._idle_limit, clock)
+        self._leases = LeaseTracker(self._idle_limit, clock)
         self._expiry = LeaseExpiry(self._leases, clock)
         self._slots = WorkSlots(NEW_REQUESTS)
         self._statement_api = StatementApi(views, statements, self._slots, clock)
@@ -70,12 +74,12 @@
 
     @property
     def statements(self) -> SharedStatements:
-        """Serve single statements, here or at an owner."""
+        """Server of single statements, on local pools or at an owner."""
         return self._statements
 
     @property
     def access(self) -> SharingAccess:
-        """Give transactions connections, here or at an owner."""
+        """Provider of connections for transactions, from local pools or an owner."""
         return self._access
 
     @property
@@ -85,31 +89,31 @@
 
     @property
     def neighbours(self) -> int:
-        """Proxies of the failure domain, this one included."""
+        """Number of proxies of the failure domain, including this one."""
         return self._directory.count
 
     @property
     def leases(self) -> int:
-        """Connections that transactions of other proxies hold."""
+        """Number of connections that transactions of other proxies hold."""
         return self._leases.count
 
-    def is_handed_on(self, group: str) -> bool:
-        """Tell whether requests to a group go to owners at present."""
+    def is_forwarded(self, group: str) -> bool:
+        """Return whether requests to a group are forwarded to owners at present."""
         return bool(self._directory.owners(group))
 
     def set_up(self) -> None:
-        """Begin to share."""
+        """Start to share pools."""
         self._limits.set_up()
         self._expiry.set_up()
         self._presence.set_up()
 
     def leave(self) -> None:
-        """Take no more requests, and have control tell the others."""
+        """Stop accepting requests, and have control announce it to the neighbours."""
         self._slots.leave()
         self._presence.leave()
 
     def unload(self) -> None:
-        """Stop."""
+        """Stop all parts."""
         self._presence.unload()
         self._expiry.unload()
         self._client.close()
--- a/packages/pooler/src/dogwoodspool_pooler/shared/slots.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/slots.py
@@ -1,4 +1,4 @@
-"""How many requests of neighbours an owner works on at a time."""
+"""Limit on the requests of neighbours that an owner serves at a time."""
 
 import threading
 from collections.abc import Iterator
@@ -11,10 +11,10 @@
 
 
 class WorkSlots:
-    """Leave room to the ends of transactions.
+    """Limit new requests, so that statements of open transactions are never held up.
 
-    Requests that wait for a connection must not hold up the commit that gives one back,
-    and one more than an owner can place is better placed at the next.
+    Requests that wait for a connection must not block the commit that releases one, and
+    a request beyond what an owner can admit is better served by the next owner.
     """
 
     def __init__(self, count: int) -> None:
@@ -22,29 +22,29 @@
         self._is_leaving = False
 
     def leave(self) -> None:
-        """Give no more slots: the process ends soon."""
+        """Grant no more slots, as the process is shutting down."""
         self._is_leaving = True
 
     @contextmanager
-    def taken(self) -> Iterator[None]:
+    def acquire_slot(self) -> Iterator[None]:
         """Hold a slot.
 
         Raises:
-            OwnerLeavingError: none is given any more.
-            OwnerFullError: there is none at present.
+            OwnerLeavingError: the process is shutting down.
+            OwnerFullError: no slot is free.
         """
         if self._is_leaving:
-            raise OwnerLeavingError("the process ends soon")
+            raise OwnerLeavingError("this proxy is shutting down")
         if not self._slots.acquire(blocking=False):
-            raise OwnerFullError("it works on as many new requests as it can")
+            raise OwnerFullError("all slots for new requests are in use")
         try:
             yield
         finally:
             self._slots.release()
 
 
-def refusal_of(error: OwnerUnavailableError) -> JsonResponse:
-    """Return the answer to a request that got no slot."""
+def refusal_response(error: OwnerUnavailableError) -> JsonResponse:
+    """Return the response to a request that got no slot."""
     if isinstance(error, OwnerLeavingError):
         return error_response(421, OwnerRefusal.LEAVING, str(error))
     return error_response(503, OwnerRefusal.FULL, str(error))
--- a/packages/pooler/src/dogwoodspool_pooler/shared/statement_api.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/statement_api.py
@@ -20,11 +20,11 @@
     StatementRequest,
     StatementResponse,
 )
-from .slots import WorkSlots, refusal_of
+from .slots import WorkSlots, refusal_response
 
 
 class StatementApi:
-    """Take single statements of other proxies, as if one's own callers sent them."""
+    """Serve single statements of other proxies like those of local callers."""
 
     def __init__(
         self, views: ViewStore, statements: Statements, slots: WorkSlots, clock: Clock
@@ -35,7 +35,7 @@
         self._clock = clock
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
+        """Return the routes that it serves."""
         return [Route("POST", PATH_STATEMENT, self._run)]
 
     def _run(self, request: JsonRequest) -> JsonResponse:
@@ -45,18 +45,18 @@
         if group not in self._views.view.groups:
             return error_response(421, OwnerRefusal.NOT_KNOWN, group)
         try:
-            with self._slots.taken():
+            with self._slots.acquire_slot():
                 reply = self._statements.run(wanted)
         except OwnerUnavailableError as error:
-            return refusal_of(error)
+            return refusal_response(error)
         except NotServedError as error:
             refused = StatementResponse(
                 refusal=RefusalMessage.of(error.error),
                 has_no_primary=isinstance(error, NoPrimaryError),
             )
-            return _answer(refused)
-        return _answer(StatementResponse(reply=ReplyMessage.of(reply)))
+            return _json_response(refused)
+        return _json_response(StatementResponse(reply=ReplyMessage.of(reply)))
 
 
-def _answer(response: StatementResponse) -> JsonResponse:
+def _json_response(response: StatementResponse) -> JsonResponse:
     return JsonResponse(response.model_dump(mode="json", exclude_none=True))
--- a/packages/pooler/src/dogwoodspool_pooler/shared/statements.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/statements.py
@@ -1,4 +1,4 @@
-"""Have single statements served by the owners of their groups' pools."""
+"""Forward single statements to the owners of their groups' pools."""
 
 from collections.abc import Sequence
 
@@ -17,21 +17,22 @@
 
 
 class SharedStatements:
-    """Serve single statements where their group's pools are; see ``Statements``.
+    """Serve single statements at the owners of their group's pools.
 
-    An owner that does not take a request, or reaches no primary, has not run it, and
-    the next one is asked; in the end this process serves it. One that took a write and
-    gives no answer may have had it run.
+    Implements ``Statements``. An owner that does not accept a request or cannot reach
+    the primary has not run it, so the next one is tried, and after the last one this
+    process serves it. An owner that accepted a write and does not answer may have had
+    it run.
     """
 
     def __init__(
         self,
-        own: Statements,
+        local: Statements,
         directory: ProxyDirectory,
         client: OwnerClient,
         clock: Clock,
     ) -> None:
-        self._own = own
+        self._local = local
         self._directory = directory
         self._client = client
         self._clock = clock
@@ -40,16 +41,16 @@
         """Serve one statement."""
         owners = self._directory.owners(request.endpoint.group)
         if owners is None:
-            return self._own.run(request)
+            return self._local.run(request)
         try:
-            reply = self._ask_in_turn(request, owners)
+            reply = self._try_owners(request, owners)
         except OwnerSilentError as error:
             if request.writes:
                 return write_in_doubt(request, error)
             reply = None
-        return self._own.run(request) if reply is None else reply
+        return self._local.run(request) if reply is None else reply
 
-    def _ask_in_turn(
+    def _try_owners(
         self, request: Request, owners: Sequence[Neighbour]
     ) -> Reply | None:
         for owner in owners:
@@ -70,9 +71,10 @@
     def _ask(self, owner: Neighbour, request: Request, remaining: float) -> Reply:
         seconds = remaining if request.writes else remaining * OWNER_READ_SHARE
         now = self._clock.now()
-        # An owner answers in time, be it that it does not serve: else its server's
-        # slowness would count as its own silence.
-        bounded = request.due_by(now + seconds)
+        # The owner gets a shorter deadline than the wait for its answer, so that it
+        # answers in time even if only with a refusal. Otherwise a slow server would
+        # make the owner look unresponsive.
+        bounded = request.with_deadline(now + seconds)
         response = self._client.ask(
             owner,
             PATH_STATEMENT,
@@ -83,6 +85,8 @@
         if response.reply is not None:
             return response.reply.value()
         if response.refusal is None:
-            raise OwnerSilentError(f"{owner.name}: neither a reply nor a refusal")
+            raise OwnerSilentError(
+                f"{owner.name}: the answer has neither a reply nor a refusal"
+            )
         refused = NoPrimaryError if response.has_no_primary else NotServedError
         raise refused(response.refusal.value())
--- a/packages/pooler/src/dogwoodspool_pooler/shared/transaction_api.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/transaction_api.py
@@ -18,12 +18,12 @@
 
 from ..access import ServerAccess
 from ..errors import NotFreshError, NotServedError
+from ..local_connection import LocalHeldConnection
 from ..models import Access, Reply, StatementKind
-from ..pooled_hold import PooledHold
-from ..requests import PlaceRequest
+from ..requests import AdmissionRequest
 from .const import OWNER_ATTEMPTS, PATH_RELEASE, PATH_TRANSACTION
 from .errors import OwnerUnavailableError
-from .leases import LeaseBook
+from .leases import LeaseTracker
 from .messages import (
     Failure,
     OwnerRefusal,
@@ -33,17 +33,17 @@
     TransactionRequest,
     TransactionResponse,
 )
-from .slots import WorkSlots, refusal_of
+from .slots import WorkSlots, refusal_response
 
 
 class TransactionApi:
-    """Keep a connection under a lease for each open transaction of other proxies."""
+    """Serve transactions of other proxies on connections that are leased to them."""
 
     def __init__(
         self,
         views: ViewStore,
         access: ServerAccess,
-        leases: LeaseBook,
+        leases: LeaseTracker,
         slots: WorkSlots,
         clock: Clock,
     ) -> None:
@@ -54,7 +54,7 @@
         self._clock = clock
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
+        """Return the routes that it serves."""
         return [
             Route("POST", PATH_TRANSACTION, self._run),
             Route("POST", PATH_RELEASE, self._release),
@@ -66,15 +66,15 @@
             held = self._leases.take(message.lease)
             if held is None:
                 return error_response(410, OwnerRefusal.UNKNOWN_LEASE, message.lease)
-            return _answer(self._run_on(held, message))
+            return _json_response(self._run_on_connection(held, message))
         server = self._server(message)
         if server is None:
             return error_response(421, OwnerRefusal.NOT_KNOWN, message.server.server)
         try:
-            with self._slots.taken():
-                return _answer(self._begin(server, message))
+            with self._slots.acquire_slot():
+                return _json_response(self._begin(server, message))
         except OwnerUnavailableError as error:
-            return refusal_of(error)
+            return refusal_response(error)
 
     def _release(self, request: JsonRequest) -> JsonResponse:
         message = ReleaseLease.model_validate(request.body)
@@ -84,19 +84,19 @@
         return JsonResponse()
 
     def _server(self, message: TransactionRequest) -> BackendServer | None:
-        """Return the server that is meant, where this process knows the very same."""
-        meant = message.server
-        known = self._views.view.servers.get(meant.server)
+        """Return the requested server if this process knows the same incarnation."""
+        requested = message.server
+        known = self._views.view.servers.get(requested.server)
         if known is None or known.is_gone:
             return None
-        is_same = str(known.address) == meant.address
-        return known if is_same and known.incarnation == meant.incarnation else None
+        is_same = str(known.address) == requested.address
+        return known if is_same and known.incarnation == requested.incarnation else None
 
     def _begin(
         self, server: BackendServer, message: TransactionRequest
     ) -> TransactionResponse:
         now = self._clock.now()
-        place = PlaceRequest(
+        admission_request = AdmissionRequest(
             priority=message.priority,
             values=message.values,
             start_by=now + message.wait,
@@ -104,21 +104,21 @@
         )
         for _attempt in range(OWNER_ATTEMPTS):
             try:
-                held = self._access.open_here(server, place)
+                held = self._access.open_local(server, admission_request)
             except NotServedError as error:
                 refusal = RefusalMessage.of(error.error)
                 return TransactionResponse(failure=Failure.REFUSED, refusal=refusal)
             except ConnectFailedError as error:
                 return _not_reached(error)
-            response = self._run_on(held, message)
+            response = self._run_on_connection(held, message)
             if response.failure is not Failure.ENDED:
                 break
         return response
 
-    def _run_on(
-        self, held: PooledHold, message: TransactionRequest
+    def _run_on_connection(
+        self, held: LocalHeldConnection, message: TransactionRequest
     ) -> TransactionResponse:
-        """Run a statement on a connection, and keep or give back the connection."""
+        """Run a statement on a connection, then keep or release the connection."""
         is_good = False
         try:
             reply = self._perform(held, message)
@@ -143,23 +143,23 @@
         lease = self._leases.put(held, message.lease) if is_kept else None
         return TransactionResponse(reply=ReplyMessage.of(reply), lease=lease)
 
-    def _perform(self, held: PooledHold, message: TransactionRequest) -> Reply:
+    def _perform(self, held: LocalHeldConnection, message: TransactionRequest) -> Reply:
         asked_at = self._clock.now()
         deadline = asked_at + message.answer
         statement = message.statement.value()
         if message.is_order:
             bound = None if message.bound is None else message.bound.value()
-            reply = held.order(statement, deadline, bound=bound)
+            reply = held.run_internal(statement, deadline, bound=bound)
         else:
             prepared = None if message.prepared is None else message.prepared.value()
             reply = held.run(message.values, statement, prepared, deadline)
-        if reply.error is None and _needs_lead(message):
-            self._access.note_fresh(held.server, reply.position, asked_at)
+        if reply.error is None and _needs_primary(message):
+            self._access.record_freshness(held.server, reply.position, asked_at)
         return reply
 
 
-def _needs_lead(message: TransactionRequest) -> bool:
-    """Tell whether only a server that leads answers a statement without an error."""
+def _needs_primary(message: TransactionRequest) -> bool:
+    """Return whether only the acting primary runs a statement without an error."""
     is_write = message.prepared is not None and message.prepared.access is Access.WRITE
     kind = message.statement.kind
     return is_write or kind in (StatementKind.BEGIN, StatementKind.WRITE)
@@ -172,5 +172,5 @@
     return TransactionResponse(failure=failure, message=str(error))
 
 
-def _answer(response: TransactionResponse) -> JsonResponse:
+def _json_response(response: TransactionResponse) -> JsonResponse:
     return JsonResponse(response.model_dump(mode="json", exclude_none=True))
--- a/packages/pooler/src/dogwoodspool_pooler/stalls.py
+++ b/packages/pooler/src/dogwoodspool_pooler/stalls.py
@@ -1,4 +1,4 @@
-"""Notice servers that answer reads and leave writes without an answer."""
+"""Detect servers that answer reads but leave writes unanswered."""
 
 import itertools
 import threading
@@ -15,11 +15,11 @@
     unanswered_since: float | None = None
 
 
-class StallBook:
-    """Measure for how long a server has left writes without an answer.
+class StallTracker:
+    """Measure how long each server has left writes unanswered.
 
-    A primary that is cut off from its replicas gets no acknowledgement from them
-    and answers no write, while reads look healthy.
+    A primary that is cut off from its replicas gets no acknowledgements from them and
+    so answers no writes, while it still answers reads.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,7 +29,7 @@
         self._servers: dict[str, _Writes] = {}
 
     def begin(self, server: str) -> int:
-        """Note that a write was sent; return its number for ``end``."""
+        """Record that a write was sent and return its number for ``end``."""
         number = next(self._ids)
         with self._lock:
             writes = self._servers.setdefault(server, _Writes())
@@ -37,7 +37,7 @@
         return number
 
     def end(self, server: str, number: int, *, is_answered: bool) -> None:
-        """Note that a write was answered, or given up."""
+        """Record that a write was answered or abandoned."""
         with self._lock:
             writes = self._servers[server]
             sent_at = writes.outstanding.pop(number)
@@ -47,7 +47,7 @@
                 writes.unanswered_since = sent_at
 
     def stalled_seconds(self) -> dict[str, float]:
-        """Return for how long each server's writes have had no answer."""
+        """Return the servers with stalled writes and the length of each stall."""
         now = self._clock.now()
         stalled = {}
         with self._lock:
--- a/packages/pooler/src/dogwoodspool_pooler/statements.py
+++ b/packages/pooler/src/dogwoodspool_pooler/statements.py
@@ -1,4 +1,4 @@
-"""Serve statements outside of transactions."""
+"""Serve single statements outside of transactions."""
 
 from typing import Protocol
 
@@ -9,19 +9,19 @@
 
 
 class Statements(Protocol):
-    """Serve single statements, wherever the connections are."""
+    """Interface that serves single statements, on local or remote connections."""
 
     def run(self, request: Request) -> Reply:
         """Serve one statement.
 
         Raises:
-            NotServedError: it did not run.
+            NotServedError: the statement did not run.
         """
         ...
 
 
-class OwnStatements:
-    """Serve single statements on the pools of this process."""
+class LocalStatements:
+    """Serve single statements with the pools of this process."""
 
     def __init__(self, reads: ReadPath, writes: WritePath) -> None:
         self._reads = reads
--- a/packages/pooler/src/dogwoodspool_pooler/transactions.py
+++ b/packages/pooler/src/dogwoodspool_pooler/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions: one connection from the first statement to the end."""
+"""Transactions, each on one connection from its first statement to its end."""
 
 from dogwoodspool_common import (
     BackendServer,
@@ -17,8 +17,8 @@
 
 from .const import (
     BUSY_RETRY_SECONDS,
+    INTERNAL_STATEMENT_TIMEOUT,
     MAX_READ_ATTEMPTS,
-    SESSION_ORDER_TIMEOUT,
 )
 from .errors import NotFreshError, NotServedError
 from .held import ConnectionAccess, HeldConnection, ReadBound, roll_back
@@ -39,16 +39,16 @@
 class Transaction:
     """One open transaction of a caller.
 
-    The connection is taken with the first statement: callers pause between their
-    statements, and connections are scarce.
+    The connection is acquired for the first statement and not for the begin: callers
+    pause between their statements, and connections are scarce.
 
     Attributes:
-        endpoint: what its database promised when it began.
-        is_read_only: the caller said so when it began.
-        idle_since: clock time of its last statement's end.
+        endpoint: the endpoint of its database as of its begin.
+        is_read_only: whether the caller began it as read-only.
+        idle_since: clock time at which its last statement ended.
         held: the connection; None before the first statement and after a failure.
-        has_failed: it is undone, and only its end is missing.
-        has_written: a write of it was answered without an error.
+        has_failed: whether it was rolled back and only awaits its commit or rollback.
+        has_written: whether one of its writes was answered without an error.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
 
     @property
     def needs_primary(self) -> bool:
-        """Tell whether only the primary can serve it."""
+        """Return whether only the primary can serve it."""
         is_primary_only = self.endpoint.consistency is Consistency.PRIMARY
         return not self.is_read_only or is_primary_only
 
@@ -88,16 +88,16 @@
     def run(self, transaction: Transaction, request: Request) -> Reply:
         """Run a read or write of a transaction.
 
-        After any error the transaction is undone.
+        After any error the transaction is rolled back.
         """
         try:
             held = transaction.held or self._begin(transaction, request)
             reply = self._run_held(transaction, held, request)
         except NotServedError as error:
             self.abort(transaction)
-            return _refused(error.error)
+            return _error_reply(error.error)
         except BackendError as error:
-            return self._lost(transaction, request, error)
+            return self._connection_lost(transaction, request, error)
         finally:
             transaction.idle_since = self._clock.now()
         if reply.error is not None:
@@ -105,20 +105,21 @@
         return reply
 
     def commit(self, transaction: Transaction, request: Request) -> Reply:
-        """Commit; whatever comes of it, the transaction is over."""
+        """Commit; the transaction is over whatever the outcome."""
         if transaction.has_failed:
-            return _refused(_undone("the transaction was rolled back"))
+            return _error_reply(_aborted("the transaction was rolled back before"))
         try:
             held = transaction.held or self._begin(transaction, request)
         except NotServedError as error:
-            return _refused(error.error)
+            return _error_reply(error.error)
         except BackendError as error:
-            return self._lost(transaction, request, error)
+            return self._connection_lost(transaction, request, error)
         try:
             reply = self._run_held(transaction, held, request)
         except ConnectFailedError as error:
-            # The connection had ended before: nothing was sent, all is undone.
-            return self._lost(transaction, request, error)
+            # The connection had ended before, so the commit was not sent and the
+            # server rolls the transaction back.
+            return self._connection_lost(transaction, request, error)
         except OutcomeUnknownError as error:
             held.finish(is_good=False)
             transaction.held = None
@@ -128,25 +129,27 @@
                 server=held.server.name,
                 reason=error,
             )
-            return in_doubt("the commit was sent and no answer came")
+            return in_doubt("the commit was sent to the server and was not answered")
         if reply.state is TransactionState.IDLE:
             held.finish(is_good=True)
             transaction.held = None
         else:
             self.abort(transaction)
         if reply.error is not None and reply.error.code.is_not_run:
-            return _refused(_undone(f"the commit was refused: {reply.error.message}"))
+            return _error_reply(
+                _aborted(f"the server refused the commit: {reply.error.message}")
+            )
         return reply
 
     def abort(self, transaction: Transaction) -> None:
-        """Undo a transaction and give its connection back."""
+        """Roll a transaction back and release its connection."""
         transaction.has_failed = True
         held, transaction.held = transaction.held, None
         if held is not None:
-            roll_back(held, self._clock.now() + SESSION_ORDER_TIMEOUT)
+            roll_back(held, self._clock.now() + INTERNAL_STATEMENT_TIMEOUT)
 
     def is_expired(self, transaction: Transaction) -> bool:
-        """Tell whether a transaction has done nothing for too long."""
+        """Return whether a transaction has been idle for too long."""
         settings = self._views.settings(transaction.endpoint.group)
         limit = settings.max_transaction_idle_ms / MILLISECONDS
         return self._clock.now() - transaction.idle_since >= limit
@@ -161,11 +164,12 @@
             )
             if reply.error is None:
                 transaction.has_written |= request.writes
-                # A server that has lost its place still commits what wrote nothing.
+                # A server that is no longer the primary still accepts the commit of a
+                # transaction that wrote nothing.
                 is_commit = request.statement.kind is StatementKind.COMMIT
-                shows_lead = transaction.has_written or not is_commit
-                if transaction.needs_primary and shows_lead:
-                    self._access.note_fresh(held.server, reply.position, asked_at)
+                shows_primary = transaction.has_written or not is_commit
+                if transaction.needs_primary and shows_primary:
+                    self._access.record_freshness(held.server, reply.position, asked_at)
                 return reply
             is_busy = reply.error.code is ErrorCode.BUSY
             still_open = reply.state is TransactionState.OPEN
@@ -183,7 +187,7 @@
         return held
 
     def _begin_on_primary(self, request: Request) -> HeldConnection:
-        held, reply = self._primaries.run_repeatable(
+        held, reply = self._primaries.run_idempotent(
             request, lambda one: self._access.begin_on_primary(one, request)
         )
         if reply.error is not None:
@@ -212,7 +216,12 @@
     def _try_begin(
         self, request: Request, server: BackendServer, bound: ReadBound
     ) -> HeldConnection | None:
-        """Begin on one server; None where it does not, ``NotFreshError`` where none."""
+        """Begin on one server; return None if it does not serve the transaction.
+
+        Raises:
+            NotFreshError: no position is known that satisfies the bound, so that no
+                replica can serve it.
+        """
         now = self._clock.now()
         try:
             held = self._access.open(server, request, has_alternatives=True)
@@ -220,9 +229,9 @@
             log_read_moved(request, server, error)
             return None
         try:
-            reply = held.order(
+            reply = held.run_internal(
                 Statement(StatementKind.BEGIN_READ_ONLY),
-                min(request.deadline, now + SESSION_ORDER_TIMEOUT),
+                min(request.deadline, now + INTERNAL_STATEMENT_TIMEOUT),
                 bound=bound,
             )
         except NotFreshError:
@@ -238,12 +247,13 @@
         log_read_moved(request, server, reply.error.code)
         return None
 
-    def _lost(
+    def _connection_lost(
         self, transaction: Transaction, request: Request, error: BackendError
     ) -> Reply:
-        """Answer after the connection was lost without a commit on its way.
+        """Return the reply after the connection was lost with no commit in flight.
 
-        A server undoes a transaction whose connection ends, so nothing is kept.
+        A server rolls back a transaction whose connection ends, so that none of its
+        writes take effect.
         """
         held, transaction.held = transaction.held, None
         transaction.has_failed = True
@@ -255,12 +265,16 @@
             database=request.endpoint.database,
             reason=error,
         )
-        return _refused(_undone("the server was lost; the transaction is undone"))
+        return _error_reply(
+            _aborted(
+                "the connection to the server was lost; the transaction is rolled back"
+            )
+        )
 
 
-def _undone(message: str) -> StatementError:
+def _aborted(message: str) -> StatementError:
     return StatementError(ErrorCode.ABORTED, message)
 
 
-def _refused(error: StatementError) -> Reply:
+def _error_reply(error: StatementError) -> Reply:
     return Reply((), "", error, TransactionState.FAILED, None)
--- a/packages/pooler/src/dogwoodspool_pooler/writes.py
+++ b/packages/pooler/src/dogwoodspool_pooler/writes.py
@@ -5,20 +5,23 @@
 
 from .access import ServerAccess
 from .const import BUSY_RETRY_SECONDS
+from .local_connection import LocalHeldConnection
 from .models import ErrorCode, Reply, StatementError, TransactionState
-from .pooled_hold import PooledHold
 from .primaries import PrimaryPath
 from .requests import Request
 
 
 class WritePath:
-    """Serve writes that commit by themselves.
+    """Serve writes outside of transactions, which commit on their own.
 
-    A write is sent again only after the server said that it has not run it.
+    A write is sent again only after the server reported that it did not run it.
     """
 
     def __init__(
-        self, primaries: PrimaryPath[PooledHold], access: ServerAccess, clock: Clock
+        self,
+        primaries: PrimaryPath[LocalHeldConnection],
+        access: ServerAccess,
+        clock: Clock,
     ) -> None:
         self._primaries = primaries
         self._access = access
@@ -39,14 +42,14 @@
         held.finish(is_good=reply.state is TransactionState.IDLE)
         return reply
 
-    def _attempt(self, held: PooledHold, request: Request) -> Reply:
+    def _attempt(self, held: LocalHeldConnection, request: Request) -> Reply:
         while True:
             asked_at = self._clock.now()
             reply = held.run(
                 request.values, request.statement, request.prepared, request.deadline
             )
             if reply.error is None:
-                self._access.note_fresh(held.server, reply.position, asked_at)
+                self._access.record_freshness(held.server, reply.position, asked_at)
                 return reply
             is_busy = reply.error.code is ErrorCode.BUSY
             if not is_busy or self._clock.now() >= request.start_by:
@@ -55,17 +58,17 @@
 
 
 def write_in_doubt(request: Request, error: OutcomeUnknownError) -> Reply:
-    """Log, and return the answer to, a write that was sent and not answered."""
+    """Log a write that was sent and not answered, and return its reply."""
     log_rate_limited(
         "write_in_doubt",
         request=request.statement.request_id,
         database=request.endpoint.database,
         reason=error,
     )
-    return in_doubt("the write was sent and no answer came")
+    return in_doubt("the write was sent to the server and got no complete answer")
 
 
 def in_doubt(message: str) -> Reply:
-    """Return the answer to a request that may have run."""
+    """Return the reply to a request that may have run."""
     error = StatementError(ErrorCode.IN_DOUBT, message)
     return Reply((), "", error, TransactionState.IDLE, None)
--- a/tests/pooler/fakes.py
+++ b/tests/pooler/fakes.py
@@ -1,4 +1,4 @@
-"""Backend servers in memory, and a pooler wired to them without threads."""
+"""In-memory backend servers and a pooler wired to them without threads."""
 
 import threading
 from collections.abc import Collection, Sequence
@@ -52,8 +52,8 @@
 from dogwoodspool_pooler.registry import BackendRegistry
 from dogwoodspool_pooler.session import PooledSession
 from dogwoodspool_pooler.sessions import PooledSessions
-from dogwoodspool_pooler.stalls import StallBook
-from dogwoodspool_pooler.statements import OwnStatements, Statements
+from dogwoodspool_pooler.stalls import StallTracker
+from dogwoodspool_pooler.statements import LocalStatements, Statements
 from dogwoodspool_pooler.transactions import TransactionPath
 from dogwoodspool_pooler.writes import WritePath
 from dogwoodspool_routing import ServerTable
@@ -63,8 +63,8 @@
 
 
 @dataclass
-class Run:
-    """A statement that a server ran, with the session state that it ran in."""
+class ExecutedStatement:
+    """A statement that a server ran, with the session state at that time."""
 
     request_id: str
     kind: StatementKind
@@ -80,10 +80,11 @@
     """One backend server.
 
     Attributes:
-        refusals: codes with which it refuses the next statements.
-        silent_for: kinds of statements that it never answers.
-        full_for: new connections that it refuses, having too many.
-        has_lost_lead: another server was promoted and it does not say so itself.
+        refusals: error codes with which it refuses the next statements, in order.
+        unanswered_kinds: kinds of statements that it never answers.
+        connections_to_refuse: number of new connections that it still refuses.
+        is_replaced: whether another server was promoted in its place; it then still
+            answers reads outside of read-write transactions.
     """
 
     name: str
@@ -91,15 +92,15 @@
     position: Position = Position(3, 100)
     failure_domain: str = OWN_DOMAIN
     is_down: bool = False
-    has_lost_lead: bool = False
+    is_replaced: bool = False
     refusals: list[ErrorCode] = field(default_factory=list)
-    silent_for: set[StatementKind] = field(default_factory=set)
-    full_for: int = 0
-    runs: list[Run] = field(default_factory=list)
+    unanswered_kinds: set[StatementKind] = field(default_factory=set)
+    connections_to_refuse: int = 0
+    runs: list[ExecutedStatement] = field(default_factory=list)
     opened: int = 0
     refused_as_behind: int = 0
 
-    def described(self) -> BackendServer:
+    def as_backend_server(self) -> BackendServer:
         return BackendServer(
             name=self.name,
             group=GROUP,
@@ -111,7 +112,7 @@
 
 
 class FakeConnection:
-    """A connection to a fake server, as the pooler sees one."""
+    """A connection to a fake server; implements ``ServerConnection``."""
 
     def __init__(
         self, fake: FakeServer, server: BackendServer, clock: ManualClock
@@ -120,8 +121,8 @@
         self._clock = clock
         self._is_open = True
         self._state = TransactionState.IDLE
-        self._is_plain = False
-        self._wrote = False
+        self._is_read_write = False
+        self._has_written = False
         self._prepared: dict[str, tuple[Access | None, str]] = {}
         self._values: dict[str, str] = {}
         fake.opened += 1
@@ -172,13 +173,13 @@
         if self._fake.is_down:
             self._is_open = False
             raise OutcomeUnknownError("down")
-        replies = [self._carry_out(statement) for statement in statements]
+        replies = [self._run(statement) for statement in statements]
         self.answered_at = self._clock.now()
         return replies
 
-    def _carry_out(self, statement: Statement) -> Reply:
+    def _run(self, statement: Statement) -> Reply:
         fake = self._fake
-        if statement.kind in fake.silent_for:
+        if statement.kind in fake.unanswered_kinds:
             self._is_open = False
             raise OutcomeUnknownError("silent")
         error = self._refusal(statement)
@@ -196,12 +197,14 @@
         if statement.wait_for is not None and statement.wait_for > fake.position:
             fake.refused_as_behind += 1
             return ErrorCode.BEHIND
-        leads = fake.role is Role.PRIMARY and not fake.has_lost_lead
+        is_primary = fake.role is Role.PRIMARY and not fake.is_replaced
         is_write = statement.kind is StatementKind.WRITE
-        needs_lead = statement.kind is StatementKind.BEGIN or is_write
+        needs_primary = statement.kind is StatementKind.BEGIN or is_write
         is_end = statement.kind is StatementKind.ROLLBACK
-        is_end = is_end or (statement.kind is StatementKind.COMMIT and not self._wrote)
-        if not leads and not is_end and (needs_lead or self._is_plain):
+        is_end = is_end or (
+            statement.kind is StatementKind.COMMIT and not self._has_written
+        )
+        if not is_primary and not is_end and (needs_primary or self._is_read_write):
             return ErrorCode.READ_ONLY
         is_work = statement.kind in (
             StatementKind.READ,
@@ -222,11 +225,11 @@
         match statement.kind:
             case StatementKind.BEGIN | StatementKind.BEGIN_READ_ONLY:
                 self._state = TransactionState.OPEN
-                self._is_plain = statement.kind is StatementKind.BEGIN
-                self._wrote = False
+                self._is_read_write = statement.kind is StatementKind.BEGIN
+                self._has_written = False
                 return
             case StatementKind.ROLLBACK:
-                self._state, self._is_plain = TransactionState.IDLE, False
+                self._state, self._is_read_write = TransactionState.IDLE, False
                 return
             case StatementKind.SET:
                 self._values[statement.name] = statement.argument
@@ -242,7 +245,7 @@
             case StatementKind.EXECUTE:
                 shape = self._prepared[statement.name][1]
         fake.runs.append(
-            Run(
+            ExecutedStatement(
                 statement.request_id,
                 statement.kind,
                 statement.text,
@@ -252,21 +255,21 @@
                 self.number,
             )
         )
-        self._wrote = self._wrote or statement.kind is StatementKind.WRITE
+        self._has_written = self._has_written or statement.kind is StatementKind.WRITE
         if statement.kind is StatementKind.COMMIT:
-            self._state, self._is_plain = TransactionState.IDLE, False
+            self._state, self._is_read_write = TransactionState.IDLE, False
         if statement.kind in (StatementKind.WRITE, StatementKind.COMMIT):
             offset = fake.position.offset + 1
             fake.position = Position(fake.position.term, offset)
 
 
 CONNECT_SECONDS = 0.012
-# Tests meet a process that has been up for a while.
-UP_FOR_SECONDS = 10.0
+# Uptime of the process before each test, so that its connection ceilings have risen.
+UPTIME_SECONDS = 10.0
 
 
 class AutoAdvanceClock(ManualClock):
-    """A clock on which every wait runs out at once, as nobody else does anything."""
+    """A manual clock that advances through every wait, as there is no other thread."""
 
     def sleep(self, seconds: float) -> None:
         self.advance(seconds)
@@ -277,7 +280,7 @@
 
 
 class FakeNetwork:
-    """Open connections to fake servers by name, which takes some milliseconds."""
+    """Connector to fake servers by name; fails with less than 12 ms to the deadline."""
 
     def __init__(self, servers: Sequence[FakeServer], clock: ManualClock) -> None:
         self.servers = {server.name: server for server in servers}
@@ -291,8 +294,8 @@
             raise ConnectFailedError("no such server")
         if fake.is_down:
             raise ServerDownError(f"{server.name} is down")
-        if fake.full_for:
-            fake.full_for -= 1
+        if fake.connections_to_refuse:
+            fake.connections_to_refuse -= 1
             raise ConnectionLimitError(f"{server.name} has too many connections")
         return FakeConnection(fake, server, self._clock)
 
@@ -305,10 +308,10 @@
 
 
 class Pooler:
-    """The pooler's parts over fake servers, on a clock that tests move."""
+    """The parts of a pooler over fake servers, on a clock that tests advance."""
 
     def __init__(
-        self, servers: Sequence[FakeServer], promised: Endpoint | None = None
+        self, servers: Sequence[FakeServer], served_endpoint: Endpoint | None = None
     ) -> None:
         self.clock = AutoAdvanceClock()
         self.network = FakeNetwork(servers, self.clock)
@@ -316,7 +319,7 @@
         self.table = ServerTable(self.clock)
         self.suspected: list[str] = []
         self.stalls, self.freshness = (
-            StallBook(self.clock),
+            StallTracker(self.clock),
             FreshnessTracker(self.clock),
         )
         self.registry = BackendRegistry(self.views, self.network, self.clock)
@@ -330,7 +333,7 @@
             self.suspected.append,
             self.clock,
         )
-        self.views.add_listener(self._follow)
+        self.views.add_listener(self._apply_view)
         self.access = access
         known = KnownPrimaries(self.views, self.table)
         self.primaries = PrimaryPath(self.views, known, access, self.clock)
@@ -340,29 +343,29 @@
         self.reads = ReadPath(
             access, placement, self.primaries, self.counters, self.clock
         )
-        self.own = OwnStatements(
+        self.local_statements = LocalStatements(
             self.reads, WritePath(self.primaries, access, self.clock)
         )
-        self.sessions = self.sessions_over(self.views, self.clock)
-        self.promised = promised or endpoint()
+        self.sessions = self.sessions_with(self.views, self.clock)
+        self.served_endpoint = served_endpoint or endpoint()
         self.version = 0
-        self.show(primary=servers[0].name)
-        self.clock.advance(UP_FOR_SECONDS)
+        self.apply_view(primary=servers[0].name)
+        self.clock.advance(UPTIME_SECONDS)
 
-    def sessions_over(
+    def sessions_with(
         self,
         views: ViewStore,
         clock: Clock,
         statements: Statements | None = None,
         access: ConnectionAccess[HeldConnection] | None = None,
     ) -> PooledSessions:
-        """Return sessions that begin once a view store is filled.
+        """Return sessions that open once a view store has its first view.
 
         Args:
             views: the view store.
-            clock: what sessions wait on.
-            statements: serves single statements; this process's pools without it.
-            access: gives transactions connections; those of this process without it.
+            clock: the clock that sessions wait on.
+            statements: serves single statements; by default from local pools.
+            access: provides transactions with connections; by default local ones.
         """
         held = access or self.access
         transactions = TransactionPath(
@@ -373,10 +376,14 @@
             self.clock,
         )
         return PooledSessions(
-            views, statements or self.own, transactions, self.counters, clock
+            views,
+            statements or self.local_statements,
+            transactions,
+            self.counters,
+            clock,
         )
 
-    def show(
+    def apply_view(
         self,
         *,
         primary: str | None,
@@ -384,12 +391,12 @@
         endpoints: Sequence[Endpoint] | None = None,
         leaving: Collection[str] = (),
     ) -> None:
-        """Put a new view in force."""
+        """Apply a new view."""
         self.version += 1
-        shown = [self.promised] if endpoints is None else endpoints
+        view_endpoints = [self.served_endpoint] if endpoints is None else endpoints
         group = GroupState(GROUP, self.version, primary, phase, ())
         servers = [
-            replace(fake.described(), is_leaving=fake.name in leaving)
+            replace(fake.as_backend_server(), is_leaving=fake.name in leaving)
             for fake in self.network.servers.values()
         ]
         self.views.adopt(
@@ -399,7 +406,7 @@
                 servers=[ServerMessage.of(server) for server in servers],
                 proxies=[],
                 settings=[],
-                endpoints=[EndpointMessage.of(one) for one in shown],
+                endpoints=[EndpointMessage.of(one) for one in view_endpoints],
             )
         )
 
@@ -407,11 +414,11 @@
         """Open a session at ``db``."""
         return self.sessions.open("db")
 
-    def _follow(self, view: ProxyView) -> None:
+    def _apply_view(self, view: ProxyView) -> None:
         self.table.adopt_committed(view.servers.values())
 
 
-_VERBS = {
+_KINDS = {
     "READ": StatementKind.READ,
     "WRITE": StatementKind.WRITE,
     "COMMIT": StatementKind.COMMIT,
@@ -421,9 +428,9 @@
 }
 
 
-def say(session: PooledSession, text: str, request_id: str = "r") -> Answer:
-    """Run a read, a write or the begin or end of a transaction."""
-    kind = _VERBS.get(text) or _VERBS[text.split(" ", maxsplit=1)[0]]
+def run_text(session: PooledSession, text: str, request_id: str = "r") -> Answer:
+    """Run a read, a write, or the begin or end of a transaction, given as text."""
+    kind = _KINDS.get(text) or _KINDS[text.split(" ", maxsplit=1)[0]]
     return session.run(Statement(kind, request_id, text))
 
 
--- a/tests/pooler/shared/neighbours.py
+++ b/tests/pooler/shared/neighbours.py
@@ -1,4 +1,4 @@
-"""Poolers that hand requests to each other, without sockets or threads."""
+"""Poolers that forward requests to each other, without sockets or threads."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
     Route,
 )
 from dogwoodspool_pooler.shared.access import SharingAccess
-from dogwoodspool_pooler.shared.leases import LeaseBook
+from dogwoodspool_pooler.shared.leases import LeaseTracker
 from dogwoodspool_pooler.shared.owner_client import OwnerClient
 from dogwoodspool_pooler.shared.slots import WorkSlots
 from dogwoodspool_pooler.shared.statement_api import StatementApi
@@ -35,30 +35,31 @@
     """A neighbour that owns pools.
 
     Attributes:
-        is_down: nothing listens at its address.
-        loses_answers: it does what it is asked, and no answer arrives.
+        is_down: whether connections to its address are refused.
+        loses_answers: whether it serves requests but its answers get lost.
+        requested_paths: paths of the requests that it got.
     """
 
     pooler: Pooler
-    leases: LeaseBook
+    leases: LeaseTracker
     slots: WorkSlots
     statements: StatementApi
     transactions: TransactionApi
     is_down: bool = False
     loses_answers: bool = False
-    asked: list[str] = field(default_factory=list)
+    requested_paths: list[str] = field(default_factory=list)
 
     def leave(self) -> None:
-        """Take only what belongs to open transactions."""
+        """Accept only requests of open transactions."""
         self.slots.leave()
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
+        """Return the routes that it serves."""
         return [*self.statements.routes(), *self.transactions.routes()]
 
 
 class FakeNeighbours(JsonClient):
-    """Carry requests to owners by name."""
+    """Client that calls owners in memory by name."""
 
     def __init__(self) -> None:
         super().__init__(None)
@@ -67,14 +68,14 @@
         self.timeouts: list[float] = []
 
     def add(self, name: str, pooler: Pooler) -> Owner:
-        """Let a pooler take requests of others."""
-        leases = LeaseBook(lambda _group: IDLE_LIMIT, pooler.clock)
+        """Make a pooler an owner that accepts requests of others."""
+        leases = LeaseTracker(lambda _group: IDLE_LIMIT, pooler.clock)
         slots = WorkSlots(SLOTS)
         owner = Owner(
             pooler,
             leases,
             slots,
-            StatementApi(pooler.views, pooler.own, slots, pooler.clock),
+            StatementApi(pooler.views, pooler.local_statements, slots, pooler.clock),
             TransactionApi(pooler.views, pooler.access, leases, slots, pooler.clock),
         )
         self.owners[name] = owner
@@ -86,7 +87,7 @@
         owner = self.owners.get(address.host)
         if owner is None or owner.is_down:
             raise PeerNotConnectedError(f"{address}: refused")
-        owner.asked.append(path)
+        owner.requested_paths.append(path)
         self.bodies.append(body)
         self.timeouts.append(timeout)
         handlers = {route.path: route.handler for route in owner.routes()}
@@ -100,7 +101,7 @@
 
 
 class FixedDirectory(ProxyDirectory):
-    """Owners that a test names, whatever the group."""
+    """A directory with the owners that a test names, for all groups."""
 
     def __init__(self, names: Sequence[str], pooler: Pooler) -> None:
         super().__init__(Neighbour("own", "own:1"), DOMAINS, pooler.clock)
@@ -119,18 +120,18 @@
     """A pooler whose requests run at the owners ``o1`` and ``o2``."""
 
     def __init__(
-        self, servers: Sequence[FakeServer], promised: Endpoint | None = None
+        self, servers: Sequence[FakeServer], served_endpoint: Endpoint | None = None
     ) -> None:
-        super().__init__(servers, promised)
+        super().__init__(servers, served_endpoint)
         self.neighbours = FakeNeighbours()
         for name in ("o1", "o2"):
-            self.neighbours.add(name, Pooler(servers, promised))
+            self.neighbours.add(name, Pooler(servers, served_endpoint))
         self.directory = FixedDirectory(["o1", "o2"], self)
         client = OwnerClient(self.directory, self.neighbours)
-        self.sessions = self.sessions_over(
+        self.sessions = self.sessions_with(
             self.views,
             self.clock,
-            SharedStatements(self.own, self.directory, client, self.clock),
+            SharedStatements(self.local_statements, self.directory, client, self.clock),
             SharingAccess(self.access, self.directory, client),
         )
 
--- a/tests/pooler/shared/test_connection_load.py
+++ b/tests/pooler/shared/test_connection_load.py
@@ -1,4 +1,4 @@
-"""Replayed load: many proxies before one server that takes few connections."""
+"""Replayed load: many proxies use one server that accepts few connections."""
 
 import heapq
 import random
@@ -22,12 +22,12 @@
 REQUESTS_PER_SECOND = 95.0
 SECONDS = 20.0
 STATEMENT_SECONDS = 0.03
-UP_FOR_SECONDS = 10.0
+UPTIME_SECONDS = 10.0
 
 
 @dataclass
 class Outcome:
-    """What became of the requests of a replay."""
+    """Counts of the requests and connections of a replay."""
 
     requests: int = 0
     refused: int = 0
@@ -35,13 +35,13 @@
 
     @property
     def opened_per_100(self) -> float:
-        """Connections opened for 100 requests."""
+        """Connections opened per 100 requests."""
         return 100 * self.opened / self.requests
 
 
 @dataclass
 class LimitedServer:
-    """A server that takes so many connections and no more."""
+    """A server with a connection limit."""
 
     limit: int
     clock: ManualClock
@@ -60,7 +60,7 @@
 
 
 class Replay:
-    """Requests that come to proxies at random, each to the pool that serves it."""
+    """Requests that arrive at random proxies, each run on the pool that serves it."""
 
     def __init__(self, proxies: int, limit: int, *, is_shared: bool) -> None:
         self.clock = ManualClock()
@@ -79,7 +79,7 @@
         self.ceilings: dict[str, ConnectionCeiling] = {}
 
     def run(self) -> Outcome:
-        """Play all requests."""
+        """Replay all requests."""
         ends: list[tuple[float, int, str, FakeConnection]] = []
         at = 0.0
         while at < SECONDS:
@@ -122,7 +122,7 @@
         if directory is None:
             directory = ProxyDirectory(own, DOMAINS, self.clock)
             directory.adopt(domain)
-            slots = self.server.fake.described().slots
+            slots = self.server.fake.as_backend_server().slots
             directory.set_groups({GROUP: ServerLimits(slots, self.limit)})
             self.directories[own.name] = directory
         owners = directory.owners(GROUP)
@@ -130,9 +130,9 @@
 
     def pool(self, holder: str) -> ConnectionPool[FakeConnection]:
         if holder not in self.pools:
-            described = self.server.fake.described()
+            described = self.server.fake.as_backend_server()
             highest = int(self.limit * CONNECTION_SHARE)
-            ceiling = ConnectionCeiling(self.clock, highest, -UP_FOR_SECONDS)
+            ceiling = ConnectionCeiling(self.clock, highest, -UPTIME_SECONDS)
             self.ceilings[holder] = ceiling
             self.pools[holder] = ConnectionPool(
                 described, self.server, self.clock, POOL_SETTINGS, ceiling.value()
@@ -144,10 +144,14 @@
 
 
 class ConnectionLoadTests(unittest.TestCase):
-    """Connections opened for a request must not grow with the number of proxies."""
+    """Connections opened per request must not grow with the number of proxies."""
 
-    def test_pools_of_their_own_fail_many_proxies(self) -> None:
-        """Show the load: nearly each request opens a connection, or is refused."""
+    def test_separate_pools_do_not_scale_to_many_proxies(self) -> None:
+        """Show the load: with many proxies most requests open one or are refused.
+
+        Each proxy has a pool of its own here, so that this is the comparison for the
+        shared pools below.
+        """
         few = Replay(12, 117, is_shared=False).run()
         many = Replay(192, 117, is_shared=False).run()
         self.assertGreater(many.opened_per_100, 3 * few.opened_per_100)
@@ -155,8 +159,8 @@
         self.assertEqual(few.refused, 0)
         self.assertGreater(too_many.refused / too_many.requests, 0.3)
 
-    def test_shared_pools_serve_any_number_of_proxies(self) -> None:
-        """Guard against connections that grow with the proxies before a server."""
+    def test_shared_pools_scale_to_many_proxies(self) -> None:
+        """Guard against connections that grow with the number of a server's proxies."""
         outcomes = [
             Replay(proxies, 35, is_shared=True).run() for proxies in (72, 192, 600)
         ]
--- a/tests/pooler/shared/test_group_limits.py
+++ b/tests/pooler/shared/test_group_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what the directory is told of a group's servers."""
+"""Tests of the limits of a group's servers that the directory gets."""
 
 import unittest
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class RecordingDirectory(ProxyDirectory):
-    """Remember the limits that it is told."""
+    """A directory that records the limits it gets."""
 
     limits: Mapping[str, ServerLimits]
 
@@ -23,10 +23,10 @@
 
 
 class GroupLimitsTests(unittest.TestCase):
-    """The weakest server of a group bounds how many proxies own its pools."""
+    """The lowest limits in a group determine how many proxies own its pools."""
 
     def limits(self, *servers: BackendServer) -> Mapping[str, ServerLimits]:
-        """Return what the directory is told of a view's servers."""
+        """Return the limits that the directory gets for a view's servers."""
         clock = ManualClock()
         views = ViewStore("fd1", clock)
         directory = RecordingDirectory(Neighbour("p1", "10.0.0.9:1"), 3, clock)
@@ -37,7 +37,7 @@
         )
         return directory.limits
 
-    def test_the_least_of_each_counts(self) -> None:
+    def test_the_lowest_of_each_limit_is_used(self) -> None:
         other = replace(FIRST, name="s2", slots=8, connections=20)
         told = self.limits(FIRST, other)
         self.assertEqual(told, {"chat": ServerLimits(slots=3, connections=20)})
