--- a/tests/pooler/test_placement.py
+++ b/tests/pooler/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server for a read, and of shares of connections."""
+"""Tests of server placement for reads, and of connection ceilings."""
 
 import unittest
 
@@ -11,32 +11,35 @@
 def server(
     name: str, domain: str, *, latency: float = 0.02, in_flight: int = 0
 ) -> ServerView:
-    """Return a server of three slots."""
+    """Return a server with three slots."""
     described = BackendServer(name, "chat", domain, Address("10.0.0.1", 1), 3, 20)
     return ServerView(described, None, 0.0, None, False, latency, in_flight)
 
 
 class RankTests(unittest.TestCase):
-    """Reads stay near until the queue there costs more than the way."""
+    """Reads stay in their failure domain until queueing there costs more than leaving.
+
+    See ``rank_for_read``.
+    """
 
     def rank(self, *servers: ServerView) -> list[str]:
         ranked = rank_for_read(servers, primary="s1", failure_domain="fd1", excluded=())
         return [one.name for one in ranked]
 
-    def test_the_own_failure_domain_goes_first(self) -> None:
+    def test_the_own_failure_domain_is_preferred(self) -> None:
         ranked = self.rank(
             server("s2", "fd2"), server("s3", "fd1", latency=0.03, in_flight=2)
         )
         self.assertEqual(ranked[0], "s3")
 
-    def test_a_free_slot_makes_nobody_wait(self) -> None:
+    def test_a_server_with_a_free_slot_has_no_queueing_time(self) -> None:
         idle, used = server("a", "fd1"), server("b", "fd1", in_flight=2)
         self.assertEqual(expected_time(idle), expected_time(used))
 
-    def test_a_burst_of_one_domain_spreads_over_the_others(self) -> None:
-        # Everybody in one failure domain comes at once. Its own replica has a
-        # queue of seconds while replicas elsewhere idle. The load is replayed:
-        # forty reads arrive together, each is placed by what went before.
+    def test_a_burst_in_one_domain_spreads_over_the_others(self) -> None:
+        # Guards against a queue of seconds at the replica of one failure domain while
+        # replicas elsewhere are idle. The replayed load: forty reads arrive together in
+        # one domain, and each is placed given the ones before it.
         load = {"s2": 0, "s3": 0, "s4": 0}
         domains = {"s2": "fd1", "s3": "fd2", "s4": "fd3"}
         for _ in range(40):
@@ -48,18 +51,19 @@
         self.assertLess(max(load.values()), 20)
         self.assertGreater(min(load.values()), 8)
 
-    def test_a_replica_elsewhere_goes_before_a_primary_elsewhere(self) -> None:
+    def test_a_replica_elsewhere_is_preferred_to_a_primary_elsewhere(self) -> None:
         ranked = self.rank(server("s1", "fd2"), server("s2", "fd3"))
         self.assertEqual(ranked[0], "s2")
 
 
 class CeilingTests(unittest.TestCase):
-    """The share of connections is small at first, and after each refusal."""
+    """The connection ceiling is low at first and after each refusal."""
 
     def test_it_starts_small(self) -> None:
-        # After a loss of power servers still count the connections of the processes
-        # that ended. The first proxies to be back took all others, and those that
-        # came 50 ms later had none until the old ones were forgotten, 1.5 s on.
+        # After a power loss the servers still count the connections of the processes
+        # that ended. Guards against the first proxies to be back taking all the
+        # remaining ones, so that proxies that start 50 ms later have none until the old
+        # ones are dropped, 1.5 s later.
         clock = ManualClock()
         ceiling = ConnectionCeiling(clock, 6, 0.0)
         self.assertEqual(ceiling.value(), 1)
@@ -68,7 +72,7 @@
         clock.advance(1.0)
         self.assertEqual(ceiling.value(), 6)
 
-    def test_it_rises_again_by_one_a_second(self) -> None:
+    def test_it_rises_again_by_one_connection_a_second(self) -> None:
         clock = ManualClock(10.0)
         ceiling = ConnectionCeiling(clock, 6, 0.0)
         self.assertEqual(ceiling.value(), 6)
@@ -79,7 +83,7 @@
         clock.advance(10)
         self.assertEqual(ceiling.value(), 6)
 
-    def test_one_connection_is_always_tried(self) -> None:
+    def test_it_is_never_lower_than_one(self) -> None:
         ceiling = ConnectionCeiling(ManualClock(10.0), 6, 0.0)
         ceiling.record_connection_refused(0)
         self.assertEqual(ceiling.value(), 1)
--- a/tests/pooler/test_placement_load.py
+++ b/tests/pooler/test_placement_load.py
@@ -1,4 +1,4 @@
-"""Replay loads of reads on the choice of a server, against plainer choices."""
+"""Replay read loads to compare the placement of reads with simpler strategies."""
 
 import random
 import unittest
@@ -28,7 +28,7 @@
 Choice = Callable[["Proxy"], str]
 
 
-def described(domain: str) -> BackendServer:
+def backend_server(domain: str) -> BackendServer:
     """Return the server of a failure domain."""
     return BackendServer(
         name=f"s-{domain}",
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Outcomes:
-    """How the reads of one replay went."""
+    """Durations and placement of the reads of a replay."""
 
     seconds: list[float] = field(default_factory=list)
     stayed: int = 0
@@ -58,17 +58,17 @@
 
 
 class Proxy:
-    """One proxy of a failure domain with what it has learnt of the servers."""
+    """One proxy of a failure domain with its own server table."""
 
     def __init__(self, domain: str, simulation: Simulation) -> None:
         self.domain = domain
         self.table = ServerTable(simulation.clock)
-        self.table.adopt_committed([described(one) for one in DOMAINS])
+        self.table.adopt_committed([backend_server(one) for one in DOMAINS])
         self.turn = count()
 
 
 def ranked(proxy: Proxy) -> str:
-    """Choose as the product does."""
+    """Choose with ``rank_for_read``."""
     servers = proxy.table.servers(GROUP)
     best = rank_for_read(
         servers, primary=PRIMARY, failure_domain=proxy.domain, excluded=()
@@ -76,18 +76,18 @@
     return best[0].name
 
 
-def own_domain(proxy: Proxy) -> str:
-    """Always choose the server of the own failure domain."""
+def own_domain_only(proxy: Proxy) -> str:
+    """Always choose the server of the proxy's own failure domain."""
     return f"s-{proxy.domain}"
 
 
-def in_turn(proxy: Proxy) -> str:
-    """Choose one server after the other."""
+def round_robin(proxy: Proxy) -> str:
+    """Choose the servers in turn."""
     return f"s-{DOMAINS[next(proxy.turn) % len(DOMAINS)]}"
 
 
 class ReadReplay:
-    """Reads of three failure domains, each with a server and one proxy."""
+    """Reads in three failure domains, each with one server and one proxy."""
 
     def __init__(
         self, choose: Choice, rates: Mapping[str, float], seed: int, outcomes: Outcomes
@@ -123,9 +123,9 @@
 
 
 class PlacementLoadTests(unittest.TestCase):
-    """The same reads with the same work, placed in different ways."""
+    """The same reads with the same work, placed by different strategies."""
 
-    def play(self, choose: Choice, **times_capacity: float) -> Outcomes:
+    def replay(self, choose: Choice, **times_capacity: float) -> Outcomes:
         rates = {
             domain: times * CAPACITY_PER_SECOND
             for domain, times in times_capacity.items()
@@ -136,18 +136,19 @@
         return outcomes
 
     def test_callers_of_one_domain_use_the_servers_of_others(self) -> None:
-        # Most callers come to one failure domain. Its server has more reads than it
-        # can run, each waits behind all before it, and the other servers idle.
-        placed = self.play(ranked, a=0.2, b=1.4, c=0.2)
-        stuck = self.play(own_domain, a=0.2, b=1.4, c=0.2)
+        # Guards against most callers arriving in one failure domain: its server gets
+        # more reads than it can run, each queues behind all reads before it, and the
+        # other servers are idle.
+        placed = self.replay(ranked, a=0.2, b=1.4, c=0.2)
+        in_own_domain = self.replay(own_domain_only, a=0.2, b=1.4, c=0.2)
         self.assertGreater(placed.share_in_target, 0.95)
-        self.assertLess(stuck.share_in_target, 0.6)
+        self.assertLess(in_own_domain.share_in_target, 0.6)
 
     def test_reads_stay_in_their_domain_while_it_has_room(self) -> None:
-        # Bytes between failure domains are paid for. Taking turns sends two thirds
-        # of all reads elsewhere, though the server next door is idle.
-        placed = self.play(ranked, b=0.4, c=0.4)
-        turns = self.play(in_turn, b=0.4, c=0.4)
+        # Traffic between failure domains is charged. Round-robin sends two thirds of
+        # all reads elsewhere, although the server of their own domain is idle.
+        placed = self.replay(ranked, b=0.4, c=0.4)
+        spread = self.replay(round_robin, b=0.4, c=0.4)
         self.assertGreater(placed.share_that_stayed, 0.8)
-        self.assertLess(turns.share_that_stayed, 0.4)
+        self.assertLess(spread.share_that_stayed, 0.4)
         self.assertGreater(placed.share_in_target, 0.99)
--- a/tests/pooler/test_recovery.py
+++ b/tests/pooler/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of servers in trouble: they are tried until they answer, not forgotten."""
+"""Tests of probing failed servers until they answer again."""
 
 import threading
 import unittest
@@ -14,11 +14,11 @@
 from dogwoodspool_pooler.recovery import RecoveryProber
 from dogwoodspool_pooler.registry import BackendRegistry
 
-from .fakes import FakeConnection, FakeNetwork, FakeServer, Pooler, say
+from .fakes import FakeConnection, FakeNetwork, FakeServer, Pooler, run_text
 
 
 class RecoveryTests(unittest.TestCase):
-    """A server that failed takes work again once it answers."""
+    """A server that failed gets work again once it answers."""
 
     def setUp(self) -> None:
         servers = [FakeServer("s1", Role.PRIMARY), FakeServer("s2", Role.REPLICA)]
@@ -45,7 +45,7 @@
         self.prober.step()
         self.assertFalse(self.is_failing())
 
-    def test_a_server_that_is_down_is_tried_again(self) -> None:
+    def test_a_server_that_is_down_is_probed_again(self) -> None:
         self.pooler.network.servers["s1"].is_down = True
         self.note_failure()
         self.prober.step()
@@ -55,10 +55,11 @@
         self.assertFalse(self.is_failing())
 
     def test_a_failure_during_a_probe_is_followed_by_another_probe(self) -> None:
-        # After a loss of power a proxy refused all writes of one group for good. A
-        # statement had failed while the server was being probed for another failure:
-        # the probe found it well, then the statement noted it as failing, and it was
-        # no longer to be tried. Who gets no statements cannot show that it works.
+        # Guards against a proxy that refuses all writes of a group for good, as seen
+        # after a power loss. A statement fails while its server is being probed for
+        # another failure: the probe succeeds, the statement then records the server as
+        # failing, and it is not probed again. A failing server gets no statements that
+        # could show that it works.
         network = _FailingNetwork(self.pooler.network, during_connect=self.note_failure)
         registry = BackendRegistry(self.pooler.views, network, self.pooler.clock)
         prober = RecoveryProber(
@@ -67,38 +68,40 @@
         self.prober = prober
         self.note_failure()
         prober.step()
-        # Noted late, as by a thread that waited for its turn meanwhile.
+        # Recorded late, as by a thread that was delayed meanwhile.
         self.table.note_failure("s1")
         prober.step()
         self.assertFalse(self.is_failing())
 
 
 class DeadlineTests(unittest.TestCase):
-    """A request that came too late says nothing of the server."""
+    """A request that missed its deadline is no evidence against the server."""
 
-    def test_a_passed_deadline_is_no_sign_of_failure(self) -> None:
-        # In the crowd after a loss of power requests reached their connection when
-        # their time was over. Each counted as a failure of its server, so that a
-        # primary that worked got no requests until it had been probed.
+    def test_a_missed_deadline_does_not_count_as_a_failure(self) -> None:
+        # Under the load after a power loss, requests get their connection only after
+        # their deadline. Guards against counting each of them as a failure of its
+        # server, so that a working primary gets no requests until it has been probed.
         self.assertFalse(DeadlinePassedError("too late").suggests_unreachable)
         servers = [FakeServer("s1", Role.PRIMARY), FakeServer("s2", Role.REPLICA)]
         pooler = Pooler(servers)
-        pooler.access.note_unreachable(
-            servers[0].described(), DeadlinePassedError("too late")
+        pooler.access.record_unreachable(
+            servers[0].as_backend_server(), DeadlinePassedError("too late")
         )
         known = pooler.table.get("s1")
         assert known is not None
         self.assertFalse(known.is_failing)
         self.assertEqual(pooler.suspected, [])
-        pooler.access.note_unreachable(servers[0].described(), ServerDownError("down"))
+        pooler.access.record_unreachable(
+            servers[0].as_backend_server(), ServerDownError("down")
+        )
         self.assertEqual(pooler.suspected, ["s1"])
 
-    def test_a_connection_that_had_ended_only_has_the_server_asked(self) -> None:
-        # A transaction's connection was cut between two of its statements. The second
-        # one took the server for unreachable, and all requests went elsewhere or were
-        # refused until it had been probed.
+    def test_a_connection_that_had_ended_only_has_the_server_probed(self) -> None:
+        # A transaction's connection is cut between two of its statements. Guards
+        # against the second one marking the server as unreachable, so that all requests
+        # go elsewhere or are refused until it has been probed.
         pooler = Pooler([FakeServer("s1", Role.PRIMARY)])
-        server = pooler.network.servers["s1"].described()
+        server = pooler.network.servers["s1"].as_backend_server()
         connection = pooler.network.connect(server, pooler.clock.now() + 1.0)
         connection.close()
         with self.assertRaises(ConnectFailedError):
@@ -115,14 +118,15 @@
 
     def test_the_next_request_is_served(self) -> None:
         pooler = Pooler([FakeServer("s1", Role.PRIMARY)])
-        pooler.access.note_unreachable(
-            pooler.network.servers["s1"].described(), DeadlinePassedError("too late")
+        pooler.access.record_unreachable(
+            pooler.network.servers["s1"].as_backend_server(),
+            DeadlinePassedError("too late"),
         )
-        self.assertIsNone(say(pooler.session(), "WRITE k v").error)
+        self.assertIsNone(run_text(pooler.session(), "WRITE k v").error)
 
 
 class _FailingNetwork:
-    """A network in which a statement fails while the first connection comes up."""
+    """A network in which a statement fails while the first connection is opened."""
 
     def __init__(
         self, network: FakeNetwork, during_connect: Callable[[], None]
--- a/tests/pooler/test_reporting.py
+++ b/tests/pooler/test_reporting.py
@@ -1,4 +1,4 @@
-"""Tests of reports of servers in trouble, also while control has no leader."""
+"""Tests of reports of failing servers, also while control has no leader."""
 
 import unittest
 from typing import Any, cast
@@ -12,52 +12,53 @@
     PeerRefusedError,
 )
 from dogwoodspool_following import ControlPeers
-from dogwoodspool_pooler.const import IN_QUESTION_SECONDS
+from dogwoodspool_pooler.const import CONTROL_QUERY_INTERVAL_SECONDS
 from dogwoodspool_pooler.reporting import ReportCoordinator
-from dogwoodspool_pooler.stalls import StallBook
+from dogwoodspool_pooler.stalls import StallTracker
 from dogwoodspool_routing import ServerTable
 
 CUT_OFF, SECOND, THIRD = (Address("127.0.0.1", port) for port in (1, 2, 3))
 
 
 class FakeControl:
-    """Three control processes, of which the one that led is cut off.
+    """Three control processes, of which the previous leader is cut off.
 
     Attributes:
-        frozen: another one that does not answer.
-        leader: who leads now; the others name whom they knew last.
-        reachable_again: whether the one that was cut off answers.
-        taken: reports that a leader took in, with their times.
+        unresponsive: address of another process that does not answer.
+        leader: address of the current leader; the others name the last one they knew.
+        reachable_again: whether the process that was cut off answers again.
+        report_times: clock times at which a leader accepted a report.
     """
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
         self.leader: Address | None = None
         self.reachable_again = False
-        self.frozen: Address | None = None
-        self.taken: list[float] = []
+        self.unresponsive: Address | None = None
+        self.report_times: list[float] = []
 
     def post(
         self, address: Address, _path: str, body: dict[str, Any], timeout: float
     ) -> dict[str, Any]:
         is_cut_off = address == CUT_OFF and not self.reachable_again
-        if is_cut_off or address == self.frozen:
+        if is_cut_off or address == self.unresponsive:
             self._clock.advance(timeout)
             raise HttpError("timed out")
         if address != self.leader:
             named = self.leader or CUT_OFF
             raise PeerRefusedError(421, "not_leader", str(named))
         ServerReports.model_validate(body)
-        self.taken.append(self._clock.now())
+        self.report_times.append(self._clock.now())
         return {}
 
 
 class LostLeaderTests(unittest.TestCase):
     """The control leader and a group's primary are cut off together.
 
-    The others go on naming the old leader until they have elected. Each time a proxy
-    believed them and waited for the old leader, so that the new one heard of the
-    primary up to 1.6 s late, and callers were refused for as long.
+    The other control processes name the old leader until they have elected a new one.
+    Guards against a proxy that follows each such answer and waits for the old leader:
+    the new leader then gets the report of the primary up to 1.6 s late, and callers are
+    refused during that time.
     """
 
     def setUp(self) -> None:
@@ -65,7 +66,7 @@
         self.control = FakeControl(self.clock)
         peers = ControlPeers((CUT_OFF, SECOND, THIRD))
         peers.note_leader(str(CUT_OFF))
-        stalls = StallBook(self.clock)
+        stalls = StallTracker(self.clock)
         stalls.begin("s1")
         self.clock.advance(1.0)
         self.reports = ReportCoordinator(
@@ -79,43 +80,46 @@
         )
 
     def run_until(self, time: float) -> None:
-        while self.clock.now() < time and not self.control.taken:
+        while self.clock.now() < time and not self.control.report_times:
             self.clock.advance(self.reports.step())
 
-    def test_a_new_leader_hears_of_it_soon(self) -> None:
+    def test_a_new_leader_gets_the_report_soon(self) -> None:
         for elected_at in (1.7, 1.9, 2.1, 2.3, 2.5, 2.7, 2.9):
             with self.subTest(elected_at=elected_at):
                 self.setUp()
                 self.run_until(elected_at)
                 self.control.leader = THIRD
                 self.run_until(elected_at + 5)
-                self.assertLess(self.control.taken[0] - elected_at, 0.75)
+                self.assertLess(self.control.report_times[0] - elected_at, 0.75)
 
-    def test_a_frozen_process_beside_the_lost_leader_costs_one_wait_more(self) -> None:
+    def test_an_unresponsive_process_beside_the_lost_leader_costs_one_more_timeout(
+        self,
+    ) -> None:
         for elected_at in (1.7, 1.9, 2.1, 2.3, 2.5, 2.7, 2.9):
             with self.subTest(elected_at=elected_at):
                 self.setUp()
-                self.control.frozen = SECOND
+                self.control.unresponsive = SECOND
                 self.run_until(elected_at)
                 self.control.leader = THIRD
                 self.run_until(elected_at + 5)
-                self.assertLess(self.control.taken[0] - elected_at, 0.95)
+                self.assertLess(self.control.report_times[0] - elected_at, 0.95)
 
-    def test_the_old_leader_is_asked_again_after_the_others(self) -> None:
-        # Only this proxy could not reach the leader, for a moment, and the others
-        # are right: it still leads.
+    def test_the_old_leader_is_tried_again_after_the_others(self) -> None:
+        # Only this proxy could not reach the leader for a moment; the others are right
+        # in naming it, as it is still the leader.
         self.run_until(1.7)
         self.control.reachable_again = True
         self.control.leader = CUT_OFF
         self.run_until(5.0)
-        self.assertLess(self.control.taken[0], 2.3)
+        self.assertLess(self.control.report_times[0], 2.3)
 
 
-class DoubtTests(unittest.TestCase):
-    """A statement got no answer: is the server in trouble, or this proxy cut off?
+class SuspicionTests(unittest.TestCase):
+    """A statement without an answer means a failed server or a proxy that is cut off.
 
-    A proxy with few callers in a cut-off failure domain found out after 2.3 s. It asked
-    control only once a server had failed for sure, for which two waits had to pass.
+    Guards against a proxy with few callers in a cut-off failure domain that detects the
+    cut only after 2.3 s: it calls control only once a server has definitely failed, for
+    which two timeouts must pass.
     """
 
     def setUp(self) -> None:
@@ -128,41 +132,41 @@
             "p1",
             "fd1",
             ServerTable(self.clock),
-            StallBook(self.clock),
+            StallTracker(self.clock),
             self.peers,
             cast(JsonClient, self.control),
             self.clock,
         )
 
-    def test_without_doubt_nothing_is_sent(self) -> None:
+    def test_without_suspicion_nothing_is_sent(self) -> None:
         for _ in range(20):
             self.clock.advance(self.reports.step())
-        self.assertEqual(self.control.taken, [])
+        self.assertEqual(self.control.report_times, [])
 
-    def test_control_is_asked_with_nothing_to_report(self) -> None:
+    def test_control_is_called_with_nothing_to_report(self) -> None:
         self.reports.ask_control()
         self.reports.step()
-        self.assertEqual(len(self.control.taken), 1)
+        self.assertEqual(len(self.control.report_times), 1)
         self.reports.step()
-        self.assertEqual(len(self.control.taken), 1)
+        self.assertEqual(len(self.control.report_times), 1)
 
-    def test_an_election_does_not_make_all_proxies_ask_all_the_time(self) -> None:
+    def test_calls_are_rate_limited_during_an_election(self) -> None:
         for _ in range(30):
-            self.reports.ask_control(at_most_every=IN_QUESTION_SECONDS)
+            self.reports.ask_control(at_most_every=CONTROL_QUERY_INTERVAL_SECONDS)
             self.reports.step()
             self.clock.advance(0.1)
-        self.assertLessEqual(len(self.control.taken), 4)
+        self.assertLessEqual(len(self.control.report_times), 4)
 
-    def test_it_is_asked_until_it_answers(self) -> None:
-        self.control.frozen = SECOND
+    def test_control_is_called_until_it_answers(self) -> None:
+        self.control.unresponsive = SECOND
         self.control.leader = None
         self.peers.note_failure(THIRD)
         self.reports.ask_control()
         for _ in range(6):
             self.clock.advance(self.reports.step())
         self.assertTrue(self.peers.contact().is_majority_silent)
-        self.control.frozen, self.control.leader = None, THIRD
+        self.control.unresponsive, self.control.leader = None, THIRD
         for _ in range(6):
             self.clock.advance(self.reports.step())
-        self.assertGreaterEqual(len(self.control.taken), 1)
+        self.assertGreaterEqual(len(self.control.report_times), 1)
         self.assertFalse(self.peers.contact().is_majority_silent)
--- a/tests/pooler/test_session_state.py
+++ b/tests/pooler/test_session_state.py
@@ -1,4 +1,4 @@
-"""Tests of what a session keeps over pooled connections."""
+"""Tests of session state that is kept across pooled connections."""
 
 import unittest
 
@@ -12,52 +12,56 @@
     TransactionState,
 )
 from dogwoodspool_pooler.session import PooledSession
-from dogwoodspool_pooler.session_state import carry_over, carry_over_cost
+from dogwoodspool_pooler.session_state import sync_cost, sync_statements
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from .fakes import FakeServer, Pooler, execute, prepare, say, set_value
+from .fakes import FakeServer, Pooler, execute, prepare, run_text, set_value
 
 NAMES = st.sampled_from(["a", "b", "c"])
 SESSIONS = st.integers(0, 2)
 
 
-class CarryOverTests(unittest.TestCase):
-    """A connection is brought to a session's state with few statements."""
+class SyncStatementsTests(unittest.TestCase):
+    """A connection is brought to a session's state with as few statements as possible.
+
+    A reset is needed only for values that another session left on the connection.
+    """
 
     def test_a_connection_in_the_same_state_needs_nothing(self) -> None:
         held = ConnectionState({"tz": "utc"}, {Prepared(Access.READ, "q")})
         self.assertEqual(
-            carry_over({"tz": "utc"}, held, Prepared(Access.READ, "q")), []
+            sync_statements({"tz": "utc"}, held, Prepared(Access.READ, "q")), []
         )
 
-    def test_a_value_of_another_session_costs_a_reset(self) -> None:
+    def test_a_value_of_another_session_requires_a_reset(self) -> None:
         held = ConnectionState({"tz": "utc", "role": "x"}, set())
-        kinds = [one.kind for one in carry_over({"tz": "utc"}, held, None)]
+        kinds = [one.kind for one in sync_statements({"tz": "utc"}, held, None)]
         self.assertEqual(kinds, [StatementKind.RESET, StatementKind.SET])
 
     def test_a_reset_drops_what_was_prepared(self) -> None:
         wanted = Prepared(Access.READ, "q")
         held = ConnectionState({"role": "x"}, {wanted})
-        kinds = [one.kind for one in carry_over({}, held, wanted)]
+        kinds = [one.kind for one in sync_statements({}, held, wanted)]
         self.assertEqual(kinds, [StatementKind.RESET, StatementKind.PREPARE])
 
     def test_a_matching_connection_ranks_first(self) -> None:
         matching = ConnectionState({"tz": "utc"}, set())
         empty, foreign = ConnectionState(), ConnectionState({"role": "x"}, set())
         values = {"tz": "utc"}
-        costs = [carry_over_cost(values, one) for one in (matching, empty, foreign)]
+        costs = [sync_cost(values, one) for one in (matching, empty, foreign)]
         self.assertEqual(costs, sorted(costs))
         self.assertEqual(costs[0], 0)
 
 
 class SessionStateMachine(RuleBasedStateMachine):
-    """Three sessions share few connections; a plain model says what each has set.
+    """Compare three sessions on shared connections with a model of their state.
 
-    A caller sets a value or prepares a statement, and its next statement runs on a
-    connection that another caller used in between. It must run with its own values
-    and its own statement, whatever the names of the others.
+    Guards against a statement that runs with another caller's values or prepared
+    statement: a caller sets a value or prepares a statement, and its next statement
+    runs on a connection that another caller used in between, possibly with the same
+    names.
     """
 
     def __init__(self) -> None:
@@ -95,23 +99,23 @@
     @rule(index=SESSIONS)
     def write(self, index: int) -> None:
         self.number += 1
-        say(self._session(index), "WRITE k v", str(self.number))
+        run_text(self._session(index), "WRITE k v", str(self.number))
         self._check(index, None)
 
     @rule(index=SESSIONS)
     def write_in_transaction(self, index: int) -> None:
         self.number += 1
         session = self._session(index)
-        say(session, "BEGIN")
-        say(session, "WRITE k v", str(self.number))
+        run_text(session, "BEGIN")
+        run_text(session, "WRITE k v", str(self.number))
         self._check(index, None)
         assert self.server.runs[-1].in_transaction
-        say(session, "COMMIT")
+        run_text(session, "COMMIT")
 
     @rule(index=SESSIONS)
     def leave_and_come_back(self, index: int) -> None:
-        say(self._session(index), "BEGIN")
-        say(self._session(index), "READ k")
+        run_text(self._session(index), "BEGIN")
+        run_text(self._session(index), "READ k")
         self._session(index).close()
         self.sessions[index] = self.pooler.session()
         self.values[index], self.prepared[index] = {}, {}
--- a/tests/pooler/test_sessions.py
+++ b/tests/pooler/test_sessions.py
@@ -1,4 +1,4 @@
-"""Tests of opening sessions, also while nothing has come from control yet."""
+"""Tests of opening sessions, also before the first view from control."""
 
 import time
 import unittest
@@ -24,21 +24,22 @@
 
 
 class FirstViewTests(unittest.TestCase):
-    """A proxy accepts callers some hundred milliseconds before it has a first view.
+    """A proxy accepts callers some hundred milliseconds before its first view.
 
-    After a loss of power all proxies start together. Callers who were refused at once
-    tried the others, were refused there too, and had given up when the view came.
+    Guards against callers that are refused at once after a power loss: all proxies
+    start together, so callers try the others, are refused there too, and have given up
+    by the time the view arrives.
     """
 
     def setUp(self) -> None:
         self.clock = ManualClock()
         self.views = ViewStore(OWN_DOMAIN, self.clock)
         pooler = Pooler([FakeServer("s1", Role.PRIMARY)])
-        self.sessions = pooler.sessions_over(self.views, self.clock)
+        self.sessions = pooler.sessions_with(self.views, self.clock)
         self.executor = self.enterContext(ThreadPoolExecutor(1))
 
     def begin_waiting(self, database: str) -> "Future[PooledSession]":
-        """Let a caller open a session, and return once it waits."""
+        """Open a session in a thread, and return once that waits."""
         opening = self.executor.submit(self.sessions.open, database)
         while not self.clock.waiters and not opening.done():
             time.sleep(0.001)
@@ -50,17 +51,17 @@
         opening.result(5)
         self.assertEqual(self.sessions.count, 1)
 
-    def test_unknown_database_is_told_once_the_view_is_there(self) -> None:
+    def test_unknown_database_is_refused_once_the_view_arrives(self) -> None:
         opening = self.begin_waiting("other")
         self.views.adopt(FIRST_VIEW)
         self.assertIsInstance(opening.exception(5), NoDatabaseError)
 
-    def test_caller_is_refused_when_no_view_comes(self) -> None:
+    def test_caller_is_refused_when_no_view_arrives(self) -> None:
         opening = self.begin_waiting("db")
         self.clock.advance(FIRST_VIEW_WAIT_SECONDS)
         self.assertIsInstance(opening.exception(5), NotReadyError)
 
-    def test_callers_who_come_while_the_view_is_due_wait_as_well(self) -> None:
+    def test_callers_wait_until_the_first_view_is_overdue(self) -> None:
         self.clock.advance(FIRST_VIEW_DUE_SECONDS - 0.1)
         opening = self.begin_waiting("db")
         self.views.adopt(FIRST_VIEW)
