--- a/packages/emulator/src/dogwoodspool_emulator/proxies.py
+++ b/packages/emulator/src/dogwoodspool_emulator/proxies.py
@@ -20,7 +20,6 @@
     Ticket,
     TicketState,
 )
-from dogwoodspool_pooler.behind import BehindBook
 from dogwoodspool_pooler.ceiling import ConnectionCeiling
 from dogwoodspool_pooler.const import (
     BUSY_RETRY_SECONDS,
@@ -31,7 +30,8 @@
     QUEUE_LIMIT,
     WAIT_SHARE,
 )
-from dogwoodspool_pooler.freshness import FreshnessBook
+from dogwoodspool_pooler.freshness import FreshnessTracker
+from dogwoodspool_pooler.lag import LagTracker
 from dogwoodspool_pooler.placement import rank_for_read
 from dogwoodspool_pooler.registry import POOL_SETTINGS
 from dogwoodspool_routing import ServerTable
@@ -180,8 +180,8 @@
         }
         self._table = ServerTable(timeline.clock)
         self._table.adopt_committed(one.described for one in servers)
-        self._freshness = FreshnessBook(timeline.clock)
-        self._behind = BehindBook(timeline.clock)
+        self._freshness = FreshnessTracker(timeline.clock)
+        self._behind = LagTracker(timeline.clock)
         self._backends: dict[str, Backend] = {}
 
     def serve(self, attempt: Attempt, ended: Ended) -> None:
@@ -190,7 +190,7 @@
         if floor is None:
             self._serve_on_primary(attempt, ended)
         else:
-            behind = self._behind.behind(floor)
+            behind = self._behind.lagging(floor)
             self._serve_read(attempt, floor, behind, ended)
 
     def close_expired(self) -> None:
@@ -202,7 +202,7 @@
         age_ms = attempt.kind.max_age_ms
         if attempt.writes or attempt.is_transaction or age_ms is None:
             return None
-        return self._freshness.floor(attempt.group, age_ms / MILLISECONDS)
+        return self._freshness.min_position(attempt.group, age_ms / MILLISECONDS)
 
     def _serve_on_primary(self, attempt: Attempt, ended: Ended) -> None:
         primary = self._primaries[attempt.group]
@@ -214,7 +214,7 @@
             elif result.ok is Answer.OK:
                 if attempt.writes:
                     primary.commit()
-                self._freshness.note(attempt.group, primary.position, asked_at)
+                self._freshness.record(attempt.group, primary.position, asked_at)
                 ended(Ok(None))
             else:
                 ended(Error(self._full(primary)))
@@ -299,7 +299,7 @@
             backend.queue.end(ticket, 0.0, AdmissionOutcome.NO_WORK)
             run.ended(Error(refused))
         except ConnectionLimitError:
-            backend.ceiling.note_refused(backend.pool.open_count)
+            backend.ceiling.record_connection_refused(backend.pool.open_count)
             backend.adjust()
             remaining = run.start_by - self._timeline.now()
             if remaining <= 0 or run.has_alternatives:
@@ -354,9 +354,9 @@
     def _note_floor(self, run: _Run, answer: Answer) -> None:
         name = run.backend.server.described.name
         if answer is Answer.BEHIND and run.floor is not None:
-            self._behind.note_behind(name, run.floor)
+            self._behind.record_lagging(name, run.floor)
         elif run.floor is not None:
-            self._behind.note_answer(name)
+            self._behind.record_caught_up(name)
 
     def _go_on(
         self, run: _Run, connection: Connection, left: int, answer: Answer
