--- a/packages/failover/src/dogwoodspool_failover/service.py
+++ b/packages/failover/src/dogwoodspool_failover/service.py
@@ -40,7 +40,7 @@
         """Tell whether the document in force describes a database group."""
         return self._state.describes_group(group)
 
-    def take_heartbeat(self, beat: Heartbeat) -> None:
+    def record_heartbeat(self, beat: Heartbeat) -> None:
         """Take in a heartbeat; what it changes is committed on return.
 
         Whoever stated its leaving may end once that was acknowledged, and this
