--- a/packages/failover/src/dogwoodspool_failover/__init__.py
+++ b/packages/failover/src/dogwoodspool_failover/__init__.py
@@ -1,4 +1,4 @@
-"""Change primaries of groups that replicate synchronously and fence themselves."""
+"""Failover and switchover for groups that replicate synchronously and self-fence."""
 
 from .errors import (
     FailoverError,
--- a/packages/failover/src/dogwoodspool_failover/api.py
+++ b/packages/failover/src/dogwoodspool_failover/api.py
@@ -1,4 +1,4 @@
-"""Endpoints for proxies' reports and for what this voter shows."""
+"""Endpoints for the proxies' reports and for this voter's status and metrics."""
 
 from collections.abc import Callable
 
@@ -15,16 +15,16 @@
 from dogwoodspool_control.node import ControlNode
 
 from .diagnostics import FailoverDiagnostics
-from .reports import ReportBook
+from .reports import ReportTracker
 
 
 class FailoverApi:
-    """Take reports in and show the state."""
+    """Accept server reports and serve status, metrics and liveness."""
 
     def __init__(
         self,
         node: ControlNode,
-        reports: ReportBook,
+        reports: ReportTracker,
         diagnostics: FailoverDiagnostics,
         wake: Callable[[], None],
     ) -> None:
@@ -45,7 +45,7 @@
     def _report(self, request: JsonRequest) -> JsonResponse:
         message = ServerReports.model_validate(request.body)
         self._node.require_leadership()
-        self._reports.take(message)
+        self._reports.record(message)
         self._wake()
         return JsonResponse()
 
@@ -60,7 +60,7 @@
 
 
 def members_of(consensus: ConsensusNode) -> list[MemberMessage]:
-    """Return the members of the control group, for proxies."""
+    """Return the members of the control group in the form sent to proxies."""
     return [
         MemberMessage(address=one.address, failure_domain=one.failure_domain)
         for one in consensus.diagnostics().members
--- a/packages/failover/src/dogwoodspool_failover/choice.py
+++ b/packages/failover/src/dogwoodspool_failover/choice.py
@@ -1,9 +1,9 @@
 """Choose the new primary of a group that replicates synchronously.
 
-An acknowledged write is on the server that took it and on at least one other. So
-it is on some frozen server as long as all servers but one are frozen, and the
-furthest frozen one has them all. A frozen server receives nothing: what it said is
-all that it has.
+An acknowledged write is on the server that accepted it and on at least one other.
+Once all servers but one are fenced, every acknowledged write is therefore on some
+fenced server, and the most advanced fenced server has all of them. A fenced server
+receives no more writes, so the position it reported is final.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -16,114 +16,116 @@
 
 from .models import Choice, ServerState
 
-# Servers beside the one that took a write which have it when it is acknowledged.
-COPIES: Final = 1
+# Servers besides the one that accepted a write that hold it when it is acknowledged.
+REQUIRED_REPLICA_ACKS: Final = 1
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverInput:
-    """What the choice is decided on when a primary has failed.
+    """Input of the choice after a primary has failed.
 
     Attributes:
-        members: all recorded servers of the group, those that have ended included
-            for as long as they may hold an acknowledged write alone.
-        frozen: answers of the servers that are frozen.
-        writers: servers that may have taken writes since the last change ended.
-        unwanted: servers that should not be chosen, such as a failed primary.
+        members: all recorded servers of the group, including those that have ended
+            for as long as they may be the only holder of an acknowledged write.
+        fenced: answers of the servers that are fenced.
+        writers: servers that may have accepted writes since the last change ended.
+        unwanted: servers chosen only if no other qualifies, such as a failed
+            primary.
     """
 
     members: Sequence[BackendServer]
-    frozen: Mapping[str, ServerState]
+    fenced: Mapping[str, ServerState]
     writers: Collection[str]
     unwanted: Collection[str] = ()
 
 
 def choose_primary(given: FailoverInput) -> Result[Choice, ChoiceRefusal]:
-    """Choose a frozen server that surely has every acknowledged write."""
-    missing = [one.name for one in given.members if one.name not in given.frozen]
-    if len(missing) > COPIES or not given.frozen:
-        return Error(ChoiceRefusal("servers are not frozen yet", tuple(missing)))
-    needed = _needed(given, missing)
+    """Choose a fenced server that is certain to have every acknowledged write."""
+    missing = [one.name for one in given.members if one.name not in given.fenced]
+    if len(missing) > REQUIRED_REPLICA_ACKS or not given.fenced:
+        return Error(ChoiceRefusal("too few servers are fenced", tuple(missing)))
+    required = _required_position(given, missing)
     candidates = [
         server
         for server in given.members
-        if server.name in given.frozen
+        if server.name in given.fenced
         and not server.is_gone
-        and given.frozen[server.name].received >= needed
+        and given.fenced[server.name].received >= required
     ]
     if not candidates:
-        reason = "no server that runs has every acknowledged write"
+        reason = "no running server has every acknowledged write"
         return Error(ChoiceRefusal(reason, tuple(missing)))
     best = min(candidates, key=lambda one: _rank(given, one))
-    return Ok(Choice(best.name, given.frozen[best.name].received))
+    return Ok(Choice(best.name, given.fenced[best.name].received))
 
 
-def _needed(given: FailoverInput, missing: Sequence[str]) -> Position:
-    """Return the position that covers every acknowledged write.
+def _required_position(given: FailoverInput, missing: Sequence[str]) -> Position:
+    """Return the minimum position that includes every acknowledged write.
 
-    Where all servers but the only writer are frozen, each acknowledged write is on
-    one of them: what only the writer has was not acknowledged.
+    If all servers are fenced and there was a single writer, each acknowledged write
+    is on a server other than the writer: what only the writer has was not
+    acknowledged.
     """
-    counted = dict(given.frozen)
+    counted = dict(given.fenced)
     if not missing and len(given.writers) == 1:
         for writer in given.writers:
             counted.pop(writer, None)
-    return max(state.received for state in (counted or given.frozen).values())
+    return max(state.received for state in (counted or given.fenced).values())
 
 
 def _rank(given: FailoverInput, server: BackendServer) -> tuple[bool, bool, Position]:
-    state = given.frozen[server.name]
+    state = given.fenced[server.name]
     behind = Position(-state.received.term, -state.received.offset)
     return server.name in given.unwanted, server.is_leaving, behind
 
 
 @dataclass(frozen=True, slots=True)
-class HandoverInput:
-    """What the choice is decided on while the old primary goes on working.
+class SwitchoverInput:
+    """Input of the choice while the old primary keeps serving.
 
     Attributes:
-        primary: name of the old primary, which still takes writes.
+        primary: name of the old primary, which still accepts writes.
         members: as for ``FailoverInput``.
         states: answers of the replicas, by name.
-        wanted: the replica that an operator asked for, if any.
+        requested: the replica that an operator requested, if any.
     """
 
     primary: str
     members: Sequence[BackendServer]
     states: Mapping[str, ServerState]
-    wanted: str | None = None
+    requested: str | None = None
 
 
-def choose_successor(given: HandoverInput) -> Result[Choice, ChoiceRefusal]:
-    """Choose the replica to which a working primary hands over."""
+def choose_successor(given: SwitchoverInput) -> Result[Choice, ChoiceRefusal]:
+    """Choose the replica that takes over from a working primary."""
     candidates = [
         server
         for server in given.members
         if server.name != given.primary
         and server.name in given.states
         and not server.is_leaving
-        and given.wanted in (None, server.name)
+        and given.requested in (None, server.name)
     ]
     if not candidates:
         names = tuple(one.name for one in given.members if one.name not in given.states)
-        return Error(ChoiceRefusal("no replica that stays answers", names))
+        return Error(ChoiceRefusal("no replica that is not leaving answers", names))
     best = max(candidates, key=lambda one: given.states[one.name].received)
     return Ok(Choice(best.name, given.states[best.name].received))
 
 
-def is_handover_safe(
-    given: HandoverInput, successor: str, paused: Mapping[str, ServerState]
+def is_switchover_safe(
+    given: SwitchoverInput, successor: str, paused: Mapping[str, ServerState]
 ) -> bool:
     """Tell whether the successor has every acknowledged write from now on.
 
     While every replica but the successor is paused, the primary can acknowledge
-    a write only once the successor has it. What was acknowledged before is on
-    the successor too, if none of the paused ones is ahead of it.
+    a write only once the successor has it. Earlier acknowledged writes are on the
+    successor too if no paused replica is ahead of it.
     """
     others = [
         one.name for one in given.members if one.name not in (given.primary, successor)
     ]
     if any(name not in paused for name in others):
         return False
-    reached = given.states[successor].received
-    return all(paused[name].received <= reached for name in others)
+    successor_position = given.states[successor].received
+    return all(paused[name].received <= successor_position for name in others)
--- a/packages/failover/src/dogwoodspool_failover/const.py
+++ b/packages/failover/src/dogwoodspool_failover/const.py
@@ -5,78 +5,83 @@
 # Term of a group's first primary.
 FIRST_TERM: Final = 1
 
-# Time between two looks of the leader at all groups: small beside the time in which
-# a failure is detected, and 20 looks a second cost it some 2% of a core.
+# Interval at which the leader checks all groups: small compared with the failure
+# detection time, and 20 checks per second cost about 2% of a core.
 TICK_SECONDS: Final = 0.05
 
-# A proxy reports again after 200 ms, so that three lost reports are forgiven.
+# Proxies report every 200 ms, so that three lost reports are tolerated.
 REPORT_LIFETIME: Final = 0.8
-# Refused connections for this long: the process is gone, but it may be restarting
-# within a moment, and a change of primary takes longer than that.
+# Connections refused for this long mean that the process is gone. A shorter period
+# may be a restart, which completes sooner than a change of primary.
 REFUSING_SECONDS: Final = 0.15
-# Silence for this long: above the longest statement (0.3 s) and a lost packet's
-# second transmission (0.2 s to 0.4 s).
+# No answer for this long counts as a failure. Longer than the longest statement
+# (0.3 s) and the retransmission of a lost packet (0.2 s to 0.4 s).
 SILENT_SECONDS: Final = 0.6
-# Writes without an answer while reads have one. Replicas are 20 ms behind, so this
-# is no lag but a primary that reaches none of them.
+# Writes unanswered for this long while reads are answered. Replicas lag by 20 ms, so
+# this is not replication lag but a primary that reaches none of its replicas.
 STALLED_SECONDS: Final = 0.8
-# Proxies that must agree where the leader itself still reaches the server.
+# Proxies that must agree while the leader itself still reaches the server.
 MIN_REPORTERS: Final = 3
 MIN_REPORTING_DOMAINS: Final = 2
-# Silence of a server's heartbeats after which the leader looks for itself; three of
-# the usual ones.
+# Time without a heartbeat of a primary after which the leader probes it: three of the
+# usual heartbeat intervals.
 HEARTBEAT_SILENCE: Final = 3.6
 
-# A server that was heard within this time holds its address against another id; two
-# of the usual heartbeats.
+# A server whose last heartbeat is at most this old keeps its address when another
+# server id claims it: two of the usual heartbeat intervals.
 ADDRESS_HOLD_SECONDS: Final = 2.4
 
-# The leader's own questions to a server that is in doubt.
+# The leader's probes of a suspected server.
 PROBE_TIMEOUT: Final = 0.3
 PROBE_PAUSE: Final = 0.1
 
-# One question or order to a server during a change of primary.
+# One status request or command to a server during a change of primary.
 SERVER_CALL_TIMEOUT: Final = 0.5
-FREEZE_RETRY_SECONDS: Final = 0.15
-# Time for every replica to answer before the furthest of those that did is taken.
-FREEZE_GRACE_SECONDS: Final = 0.25
-# Time more for the failed primary once all replicas have answered: one connection and
-# one answer. It is part of every failover.
-DOUBT_GRACE_SECONDS: Final = 0.05
-# A planned change gives up its zero gap when a replica cannot be paused for so long.
-HANDOVER_FREEZE_SECONDS: Final = 2.0
-# The platform's call: it answers when it has taken the order, or not at all.
+FENCE_RETRY_SECONDS: Final = 0.15
+# Time for every replica to answer before the most advanced of those that did is
+# chosen.
+FENCE_GRACE_SECONDS: Final = 0.25
+# Additional wait for the failed primary once all replicas have answered: enough for
+# one connection and one answer. It adds to the duration of every failover.
+SUSPECT_GRACE_SECONDS: Final = 0.05
+# A switchover becomes a failover, which interrupts writes, if the replicas cannot be
+# paused within this time.
+SWITCHOVER_TIMEOUT_SECONDS: Final = 2.0
+# Timeout of the platform's promotion call, which answers once it has accepted the
+# request, or not at all.
 PROMOTION_CALL_TIMEOUT: Final = 2.0
 PROMOTION_RETRY_SECONDS: Final = 0.3
-# Time from the order until the server leads, at most; some 0.3 s to 1 s is usual.
-TAKE_OVER_SECONDS: Final = 4.0
-TAKE_OVER_POLL_SECONDS: Final = 0.25
+# Longest time from the first request until the server is the primary; 0.3 s to 1 s is
+# usual.
+PROMOTION_COMPLETION_SECONDS: Final = 4.0
+PROMOTION_POLL_SECONDS: Final = 0.25
 
 RESUME_ATTEMPTS: Final = 20
 RESUME_RETRY_SECONDS: Final = 0.5
 
 # Pause before another try to move the primary away from a leaving server.
 DEPARTURE_RETRY_SECONDS: Final = 2.0
-COVER_RETRY_SECONDS: Final = 0.5
-# A server whose machine refuses connections for so long has ended.
+PRESERVED_CHECK_SECONDS: Final = 0.5
+# A server whose machine refuses connections for this long has ended.
 ENDED_SECONDS: Final = 6.0
 
 WORKER_THREADS: Final = 12
-# Polls that wait at one control process, each in a thread: the share of 200 proxies
-# where two of six processes are lost. Further ones poll at intervals.
+# Long polls that wait at one control process, each in its own thread: its share of 200
+# proxies when two of six processes are lost. Further proxies poll at intervals.
 MAX_WATCHERS: Final = 48
-# Beside them votes, entries, reports and joins, none of which waits for long.
+# Additional threads for votes, log entries, reports and joins, none of which waits for
+# long.
 HTTP_THREADS: Final = MAX_WATCHERS + 16
 
-# Control group: time without an answer after which a voter's vote goes to a learner.
-# Above an election (1.1 s), so that a change of leader moves no votes.
+# Control group: time without an answer after which a voter is replaced by a learner.
+# Longer than an election (1.1 s), so that a change of leader replaces no voter.
 SILENT_VOTER_SECONDS: Final = 2.5
-# A learner that answered within this time may take a vote.
+# A learner must have answered within this time to become a voter.
 LIVE_LEARNER_SECONDS: Final = 1.5
 MAX_LEARNER_LAG: Final = 64
-FORGOTTEN_LEARNER_SECONDS: Final = 120.0
+LEARNER_REMOVAL_SECONDS: Final = 120.0
 MEMBER_CHANGE_TIMEOUT: Final = 3.0
-MEMBER_LOOK_SECONDS: Final = 0.25
+MEMBER_CHECK_SECONDS: Final = 0.25
 JOIN_RETRY_SECONDS: Final = 0.4
 JOIN_CHECK_SECONDS: Final = 3.0
 JOIN_TIMEOUT: Final = 3.0
--- a/packages/failover/src/dogwoodspool_failover/parts.py
+++ b/packages/failover/src/dogwoodspool_failover/dependencies.py
@@ -1,4 +1,4 @@
-"""What the steps of a change of primary share."""
+"""Dependencies shared by the steps of a change of primary."""
 
 from collections.abc import Callable, Iterable
 from concurrent.futures import Executor, Future, wait
@@ -9,9 +9,9 @@
 from dogwoodspool_control.promotion.failovers import FailoverTimeline
 from dogwoodspool_control.state import ControlState
 
-from .const import DOUBT_GRACE_SECONDS
+from .const import SUSPECT_GRACE_SECONDS
 from .errors import ServerCallError
-from .heartbeats import HeartbeatBook
+from .heartbeats import HeartbeatTracker
 from .models import ServerState
 from .servers import GroupServers, PromotionService
 
@@ -19,46 +19,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChangeParts:
-    """The objects that changes of primary work with.
+class ChangeDependencies:
+    """Dependencies of the changes of primary.
 
     Attributes:
-        holder: name of this voter towards the platform.
+        holder: name under which this voter requests promotions from the platform.
         executor: runs calls to backend servers.
     """
 
     clock: Clock
     node: ControlNode
     state: ControlState
-    heartbeats: HeartbeatBook
+    heartbeats: HeartbeatTracker
     servers: GroupServers
     service: PromotionService
     holder: str
     timeline: FailoverTimeline
     executor: Executor
 
-    def ask_all(
+    def call_all(
         self,
         servers: Iterable[BackendServer],
         call: ServerCall,
         timeout: float,
-        in_doubt: str = "",
+        suspected: str = "",
     ) -> dict[str, ServerState]:
-        """Make one call to each server at the same time; return the answers.
+        """Call all servers concurrently; return the answers by server name.
 
         Args:
-            servers: whom to ask.
-            call: the question or order.
-            timeout: seconds after which answers that are missing are left out.
-            in_doubt: a server that probably does not answer. It is waited for only
-                until the others have answered, and for a moment more.
+            servers: the servers to call.
+            call: the status request or command.
+            timeout: seconds after which missing answers are omitted.
+            suspected: a server that probably does not answer. It is waited for only
+                until the others have answered, plus ``SUSPECT_GRACE_SECONDS``.
         """
         calls: dict[Future[ServerState], str] = {
             self.executor.submit(call, server): server.name for server in servers
         }
-        awaited = [future for future, name in calls.items() if name != in_doubt]
+        awaited = [future for future, name in calls.items() if name != suspected]
         wait(awaited, timeout=timeout)
-        grace = DOUBT_GRACE_SECONDS if in_doubt else 0.0
+        grace = SUSPECT_GRACE_SECONDS if suspected else 0.0
         wait(calls, timeout=grace)
         ended = [future for future in calls if future.done()]
         answers = {}
--- a/packages/failover/src/dogwoodspool_failover/detection.py
+++ b/packages/failover/src/dogwoodspool_failover/detection.py
@@ -1,4 +1,4 @@
-"""Decide whether a primary has failed, from reports and the leader's own probes."""
+"""Detect failed primaries from proxies' reports and the leader's own probes."""
 
 import threading
 from collections.abc import Callable, Sequence
@@ -18,8 +18,8 @@
     SILENT_SECONDS,
 )
 from .errors import ServerBusyError, ServerCallError, ServerRefusingError
-from .heartbeats import HeartbeatBook
-from .reports import ReportBook, Reporter
+from .heartbeats import HeartbeatTracker
+from .reports import Reporter, ReportTracker
 from .servers import GroupServers
 
 
@@ -27,9 +27,9 @@
     """What is wrong with a primary.
 
     Attributes:
-        FAILED: it does not answer, or it has no place any more.
-        STALLED: it answers, but its writes reach no replica.
-        CUT_OFF: the leader reaches it, many proxies do not.
+        FAILED: it does not answer, or it is no longer a primary.
+        STALLED: it answers reads, but its writes reach no replica.
+        CUT_OFF: the leader reaches it, but several proxies do not.
     """
 
     FAILED = "failed"
@@ -38,108 +38,109 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeRecord:
-    """The leader's own questions to one server.
+class ProbeResult:
+    """Result of the leader's probes of one server.
 
     Attributes:
-        failing_since: when the first of the failed ones was asked; None while it
-            answers.
+        failing_since: when the first of the consecutive failed probes was sent; None
+            while the server answers.
         is_refusing: whether its machine refused the connection each time.
-        role: what it last said of itself.
-        asked_at: when the last question was sent.
+        role: the role in its last answer.
+        sent_at: when the last probe was sent.
     """
 
-    asked_at: float
+    sent_at: float
     failing_since: float | None = None
     is_refusing: bool = False
     role: Role | None = None
 
 
 class PrimaryProbes:
-    """Ask servers that are in doubt, without holding up the leader's loop."""
+    """Probe suspected servers without blocking the leader's loop."""
 
     def __init__(self, clock: Clock, servers: GroupServers, executor: Executor) -> None:
         self._clock = clock
         self._servers = servers
         self._executor = executor
         self._lock = threading.Lock()
-        self._records: dict[str, ProbeRecord] = {}
-        self._asking: set[str] = set()
+        self._results: dict[str, ProbeResult] = {}
+        self._in_flight: set[str] = set()
 
-    def start_over(self) -> None:
-        """Forget everything, as at the beginning of a leadership."""
+    def reset(self) -> None:
+        """Discard all results at the start of a leadership."""
         with self._lock:
-            self._records.clear()
+            self._results.clear()
 
-    def forget(self, server: str) -> None:
-        """Forget a server that is in doubt no more."""
+    def discard_result(self, server: str) -> None:
+        """Discard the result of a server that is no longer suspected."""
         with self._lock:
-            self._records.pop(server, None)
+            self._results.pop(server, None)
 
-    def record(self, server: str) -> ProbeRecord | None:
-        """Return what the questions showed; None before the first answer."""
+    def result(self, server: str) -> ProbeResult | None:
+        """Return the result of the probes; None before the first has ended."""
         with self._lock:
-            return self._records.get(server)
+            return self._results.get(server)
 
-    def ask(self, server: BackendServer) -> None:
-        """Ask once more, unless a question is under way or was just answered."""
+    def probe(self, server: BackendServer) -> None:
+        """Send a probe unless one is in flight or was sent within ``PROBE_PAUSE``."""
         now = self._clock.now()
         with self._lock:
-            known = self._records.get(server.name)
-            is_recent = known is not None and now - known.asked_at < PROBE_PAUSE
-            if server.name in self._asking or is_recent:
+            known = self._results.get(server.name)
+            is_recent = known is not None and now - known.sent_at < PROBE_PAUSE
+            if server.name in self._in_flight or is_recent:
                 return
-            self._asking.add(server.name)
-        self._executor.submit(self._ask, server)
+            self._in_flight.add(server.name)
+        self._executor.submit(self._probe, server)
 
-    def _ask(self, server: BackendServer) -> None:
-        asked_at = self._clock.now()
+    def _probe(self, server: BackendServer) -> None:
+        sent_at = self._clock.now()
         try:
             state = self._servers.status(server, PROBE_TIMEOUT)
-            record = ProbeRecord(asked_at, role=state.role)
+            result = ProbeResult(sent_at, role=state.role)
         except ServerBusyError:
-            record = ProbeRecord(asked_at)
+            result = ProbeResult(sent_at)
         except ServerCallError as error:
-            record = self._failure(server.name, asked_at, error)
+            result = self._failure(server.name, sent_at, error)
             log_event(
                 "probe_failed",
                 server=server.name,
-                since=record.failing_since,
+                since=result.failing_since,
                 reason=error,
             )
         finally:
             with self._lock:
-                self._asking.discard(server.name)
+                self._in_flight.discard(server.name)
         with self._lock:
-            self._records[server.name] = record
+            self._results[server.name] = result
 
     def _failure(
-        self, server: str, asked_at: float, error: ServerCallError
-    ) -> ProbeRecord:
+        self, server: str, sent_at: float, error: ServerCallError
+    ) -> ProbeResult:
         is_refusing = isinstance(error, ServerRefusingError)
-        known = self.record(server)
+        known = self.result(server)
         if known is None or known.failing_since is None:
-            return ProbeRecord(asked_at, asked_at, is_refusing)
-        # A machine that goes dark after it refused has not refused all the while.
+            return ProbeResult(sent_at, sent_at, is_refusing)
+        # Refusals and time-outs have different thresholds. A machine that stops
+        # answering after refusing has not refused connections throughout.
         is_same = known.is_refusing == is_refusing
-        since = known.failing_since if is_same or not is_refusing else asked_at
-        return ProbeRecord(asked_at, since, is_refusing and is_same)
+        since = known.failing_since if is_same or not is_refusing else sent_at
+        return ProbeResult(sent_at, since, is_refusing and is_same)
 
 
-class PrimaryJudge:
-    """Decide about each primary at each look of the leader.
+class PrimaryFailureDetector:
+    """Decide at each tick of the leader whether a primary has failed.
 
-    Two observers must agree: a proxy in whose requests the failure shows, and the
-    leader's own questions. One of them alone may be cut off itself. Only where
-    the leader reaches the server and several proxies in several failure domains
-    do not, their word is enough: the server works, but not for them.
+    Two observers must agree: a proxy whose requests fail, and the leader's own
+    probes. Either of them alone may be cut off itself. The only exception: if the
+    leader reaches the server and several proxies in several failure domains do
+    not, their reports are enough, as the server works but not for them.
     """
 
     def __init__(
         self,
         clock: Clock,
-        reports: ReportBook,
-        heartbeats: HeartbeatBook,
+        reports: ReportTracker,
+        heartbeats: HeartbeatTracker,
         probes: PrimaryProbes,
     ) -> None:
         self._clock = clock
@@ -148,49 +149,57 @@
         self._probes = probes
 
     def verdict(self, primary: BackendServer) -> Verdict | None:
-        """Return what is wrong with a primary, None for nothing."""
+        """Return what is wrong with a primary; None if it is healthy."""
         if self._heartbeats.role(primary) is Role.REPLICA:
-            self._probes.ask(primary)
-            return self._judge_lost_role(primary)
+            self._probes.probe(primary)
+            return self._lost_role_verdict(primary)
         reporters = self._reports.reporters(primary.name)
         is_silent = self._heartbeats.silence(primary.name) >= HEARTBEAT_SILENCE
         if not reporters and not is_silent:
-            self._probes.forget(primary.name)
+            self._probes.discard_result(primary.name)
             return None
-        self._probes.ask(primary)
-        record = self._probes.record(primary.name)
-        if record is None:
+        self._probes.probe(primary)
+        result = self._probes.result(primary.name)
+        if result is None:
             return None
-        if record.failing_since is None:
-            return _judge_reports(reporters)
+        if result.failing_since is None:
+            return _verdict_of_reports(reporters)
         if _agree(
-            reporters, lambda one: one.calls_unreachable, minimum=MIN_REPORTING_DOMAINS
+            reporters,
+            lambda one: one.reports_unreachable,
+            minimum=MIN_REPORTING_DOMAINS,
         ):
-            # Proxies in several failure domains have waited long enough already.
+            # Proxies in several failure domains have already waited for the failure
+            # time, so a single failed probe is enough.
             return Verdict.FAILED
-        needed = REFUSING_SECONDS if record.is_refusing else SILENT_SECONDS
-        has_failed = self._clock.now() - record.failing_since >= needed
-        is_confirmed = is_silent or any(one.calls_unreachable for one in reporters)
+        threshold = REFUSING_SECONDS if result.is_refusing else SILENT_SECONDS
+        has_failed = self._clock.now() - result.failing_since >= threshold
+        is_confirmed = is_silent or any(one.reports_unreachable for one in reporters)
         return Verdict.FAILED if has_failed and is_confirmed else None
 
-    def _judge_lost_role(self, primary: BackendServer) -> Verdict | None:
-        record = self._probes.record(primary.name)
-        if record is None or record.role is not Role.REPLICA:
+    def _lost_role_verdict(self, primary: BackendServer) -> Verdict | None:
+        result = self._probes.result(primary.name)
+        if result is None or result.role is not Role.REPLICA:
             return None
         return Verdict.FAILED
 
 
-def _judge_reports(reporters: Sequence[Reporter]) -> Verdict | None:
-    if _agree(reporters, lambda one: one.calls_stalled, minimum=MIN_REPORTING_DOMAINS):
+def _verdict_of_reports(reporters: Sequence[Reporter]) -> Verdict | None:
+    if _agree(
+        reporters, lambda one: one.reports_stalled, minimum=MIN_REPORTING_DOMAINS
+    ):
         return Verdict.STALLED
-    if _agree(reporters, lambda one: one.calls_unreachable, minimum=MIN_REPORTERS):
+    if _agree(reporters, lambda one: one.reports_unreachable, minimum=MIN_REPORTERS):
         return Verdict.CUT_OFF
     return None
 
 
 def _agree(
-    reporters: Sequence[Reporter], says: Callable[[Reporter], bool], *, minimum: int
+    reporters: Sequence[Reporter],
+    predicate: Callable[[Reporter], bool],
+    *,
+    minimum: int,
 ) -> bool:
-    agreeing = [one for one in reporters if says(one)]
+    agreeing = [one for one in reporters if predicate(one)]
     domains = {one.failure_domain for one in agreeing}
     return len(agreeing) >= minimum and len(domains) >= MIN_REPORTING_DOMAINS
--- a/packages/failover/src/dogwoodspool_failover/diagnostics.py
+++ b/packages/failover/src/dogwoodspool_failover/diagnostics.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a control process with synchronous groups."""
+"""Status and metrics of a control process with synchronously replicated groups."""
 
 from dataclasses import asdict
 from typing import Any
--- a/packages/failover/src/dogwoodspool_failover/errors.py
+++ b/packages/failover/src/dogwoodspool_failover/errors.py
@@ -8,9 +8,9 @@
 
 
 class ServerCallError(FailoverError):
-    """Report a question or order to a backend server without a usable answer.
+    """Report a call to a backend server that got no usable answer.
 
-    An order may have been carried out all the same.
+    A command may have been executed all the same.
     """
 
 
@@ -19,7 +19,7 @@
 
 
 class ServerBusyError(ServerCallError):
-    """Report a server that works and has no room for the question."""
+    """Report a server that works but has no capacity for the call."""
 
 
 class PromotionRefusedError(FailoverError):
--- /dev/null
+++ b/packages/failover/src/dogwoodspool_failover/fencing.py
@@ -0,0 +1,96 @@
+"""Fence a group's servers, so that their data no longer changes."""
+
+from collections.abc import Mapping, Sequence
+
+from dogwoodspool_common import BackendServer, Role, log_event
+
+from .const import FENCE_GRACE_SECONDS, SERVER_CALL_TIMEOUT
+from .dependencies import ChangeDependencies, newest_term
+from .models import ServerState
+
+
+class GroupFencing:
+    """Pause replicas, step primaries down and keep the state of each afterwards.
+
+    A server's answer is valid for its current process only: a restart ends the pause,
+    and the server may have received writes since. Each answer is therefore stored
+    with the incarnation that gave it, and discarded when the server restarts.
+    """
+
+    def __init__(self, dependencies: ChangeDependencies) -> None:
+        self._dependencies = dependencies
+        self._fenced: dict[str, tuple[int, ServerState]] = {}
+        self._term = 0
+
+    def fenced(self, members: Sequence[BackendServer]) -> dict[str, ServerState]:
+        """Return the answers of the members that are fenced now."""
+        return {
+            one.name: self._fenced[one.name][1]
+            for one in members
+            if one.name in self._fenced and self._fenced[one.name][0] == one.incarnation
+        }
+
+    def fence_all(
+        self, members: Sequence[BackendServer], old_primary: str
+    ) -> dict[str, ServerState]:
+        """Fence every member that answers; return the states from before.
+
+        Members that are already fenced are called again: one may have restarted under
+        the same incarnation without having sent a heartbeat yet.
+        """
+        running = [one for one in members if not one.is_gone]
+        states = self._dependencies.call_all(
+            running,
+            lambda server: self._dependencies.servers.status(
+                server, SERVER_CALL_TIMEOUT
+            ),
+            SERVER_CALL_TIMEOUT + FENCE_GRACE_SECONDS,
+            old_primary,
+        )
+        self._term = max(self._term, newest_term(states.values()) + 1)
+        reachable = [one for one in running if one.name in states]
+        answers = self._dependencies.call_all(
+            reachable,
+            lambda server: self._fence(server, states),
+            SERVER_CALL_TIMEOUT + FENCE_GRACE_SECONDS,
+            old_primary,
+        )
+        for server in reachable:
+            self._record(server, answers.get(server.name))
+        return states
+
+    def pause(self, servers: Sequence[BackendServer]) -> dict[str, ServerState]:
+        """Pause replicas; return the states of those that are paused."""
+        answers = self._dependencies.call_all(
+            servers, self._pause, SERVER_CALL_TIMEOUT + FENCE_GRACE_SECONDS
+        )
+        return {name: one for name, one in answers.items() if one.paused_term}
+
+    def advance_term(self, states: Mapping[str, ServerState]) -> None:
+        """Raise the fencing term above every term in the servers' states."""
+        self._term = max(self._term, newest_term(states.values()) + 1)
+
+    def _fence(
+        self, server: BackendServer, states: Mapping[str, ServerState]
+    ) -> ServerState:
+        if states[server.name].role is Role.PRIMARY:
+            self._dependencies.servers.step_down(
+                server, self._term, SERVER_CALL_TIMEOUT
+            )
+        return self._pause(server)
+
+    def _pause(self, server: BackendServer) -> ServerState:
+        return self._dependencies.servers.pause(server, self._term, SERVER_CALL_TIMEOUT)
+
+    def _record(self, server: BackendServer, answer: ServerState | None) -> None:
+        if answer is None or answer.role is Role.PRIMARY or not answer.paused_term:
+            self._fenced.pop(server.name, None)
+            return
+        if server.name not in self._fenced:
+            log_event(
+                "server_frozen",
+                server=server.name,
+                term=self._term,
+                received=f"{answer.received.term}.{answer.received.offset}",
+            )
+        self._fenced[server.name] = server.incarnation, answer
--- a/packages/failover/src/dogwoodspool_failover/heartbeats.py
+++ b/packages/failover/src/dogwoodspool_failover/heartbeats.py
@@ -1,4 +1,4 @@
-"""Turn backend servers' heartbeats into commands."""
+"""Convert backend servers' heartbeats into commands."""
 
 import threading
 from collections.abc import Iterator
@@ -13,76 +13,83 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """The newest heartbeat of a server, by the leader's time of receipt."""
+class ReceivedHeartbeat:
+    """The newest heartbeat of a server, timed by the leader's clock on receipt."""
 
     incarnation: int
     sequence: int
     role: Role | None
-    at: float
+    received_at: float
 
 
-class HeartbeatBook:
-    """Remember heartbeats and say what they change in the committed state.
+class HeartbeatTracker:
+    """Track heartbeats and determine what they change in the committed state.
 
-    A heartbeat may arrive late, from behind a partition: after newer ones of its
-    process, after its process has ended, or after another server has taken its
-    address. Such a one changes nothing. It shows by its sequence, by its
-    incarnation, or by a server of a later start at the same address.
+    A heartbeat delayed by a network partition may arrive after newer ones of its
+    process, after its process has ended, or after another server has taken over its
+    address. Such a heartbeat is ignored. It is recognized by its sequence, by its
+    incarnation, or by a server at the same address that started later.
     """
 
     def __init__(self, clock: Clock, state: ControlState) -> None:
         self._clock = clock
         self._state = state
         self._lock = threading.Lock()
-        self._heard: dict[str, Heard] = {}
-        self._dropped_to: dict[str, int] = {}
+        self._latest: dict[str, ReceivedHeartbeat] = {}
+        self._lower_sequences: dict[str, int] = {}
         self._started_at = clock.now()
 
-    def start_over(self) -> None:
-        """Forget everything, as at the beginning of a leadership."""
+    def reset(self) -> None:
+        """Discard all heartbeats at the start of a leadership."""
         with self._lock:
-            self._heard.clear()
-            self._dropped_to.clear()
+            self._latest.clear()
+            self._lower_sequences.clear()
             self._started_at = self._clock.now()
 
     def silence(self, server: str) -> float:
-        """Return the seconds since a server was last heard."""
+        """Return the seconds since the last heartbeat of a server.
+
+        Without one, they count from the start of the leadership.
+        """
         with self._lock:
-            heard = self._heard.get(server)
-            since = self._started_at if heard is None else heard.at
+            latest = self._latest.get(server)
+            since = self._started_at if latest is None else latest.received_at
         return self._clock.now() - since
 
     def role(self, server: BackendServer) -> Role | None:
-        """Return the role that this very process of a server last stated."""
+        """Return the role that this process of a server last reported."""
         with self._lock:
-            heard = self._heard.get(server.name)
-        if heard is None or heard.incarnation != server.incarnation:
+            latest = self._latest.get(server.name)
+        if latest is None or latest.incarnation != server.incarnation:
             return None
-        return heard.role
+        return latest.role
 
-    def take(self, beat: Heartbeat) -> list[Command]:
-        """Take in a heartbeat; return the commands that it makes due.
+    def record(self, heartbeat: Heartbeat) -> list[Command]:
+        """Record a heartbeat; return the commands that follow from it.
 
         The heartbeat may be acknowledged once they are committed.
         """
-        if self._is_late(beat):
+        if self._is_late(heartbeat):
             return []
-        server = beat.server
+        server = heartbeat.server
         with self._lock:
-            self._heard[server.name] = Heard(
-                server.incarnation, beat.sequence, beat.role, self._clock.now()
+            self._latest[server.name] = ReceivedHeartbeat(
+                server.incarnation,
+                heartbeat.sequence,
+                heartbeat.role,
+                self._clock.now(),
             )
-        return list(self._due(beat))
+        return list(self._due(heartbeat))
 
     def end(self, name: str, incarnation: int | None = None) -> list[Command]:
-        """Take in that a server's process ends; return the commands due.
+        """Record that a server's process ends; return the commands that follow.
 
         Args:
             name: the server.
-            incarnation: the process that ends; None where it does not say. It then
-                is the recorded one if that one leaves: a server says so before it
-                ends, and a late word must not end a process that came after.
+            incarnation: the process that ends; None if not stated. The recorded process
+                is then meant, provided that it is leaving: a server announces its
+                leaving before it ends, and a delayed message must not end a process
+                that started later.
         """
         known = self._state.servers.get(name)
         if known is None or known.is_gone:
@@ -93,8 +100,8 @@
             return []
         return [RecordServer(replace(known, is_leaving=True, is_gone=True))]
 
-    def _is_late(self, beat: Heartbeat) -> bool:
-        server = beat.server
+    def _is_late(self, heartbeat: Heartbeat) -> bool:
+        server = heartbeat.server
         if server.incarnation <= self._state.ended_servers.get(server.name, -1):
             return True
         known = self._state.servers.get(server.name)
@@ -103,50 +110,53 @@
                 return True
             if known.is_gone and server.incarnation == known.incarnation:
                 return True
-        if any(self._outlives(one, server) for one in self._others(server)):
+        if any(self._is_newer_process(one, server) for one in self._others(server)):
             return True
-        return self._is_out_of_order(beat)
+        return self._is_out_of_order(heartbeat)
 
-    def _outlives(self, holder: BackendServer, claimant: BackendServer) -> bool:
-        """Tell whether the recorded holder of an address is the later process."""
+    def _is_newer_process(self, holder: BackendServer, claimant: BackendServer) -> bool:
+        """Tell whether the recorded holder of an address is the newer process."""
         if holder.is_gone or holder.incarnation < claimant.incarnation:
             return False
         if holder.incarnation > claimant.incarnation:
             return True
         return self.silence(holder.name) < ADDRESS_HOLD_SECONDS
 
-    def _is_out_of_order(self, beat: Heartbeat) -> bool:
-        """Tell whether a newer heartbeat of the same process has come before.
+    def _is_out_of_order(self, heartbeat: Heartbeat) -> bool:
+        """Tell whether a newer heartbeat of the same process was received before.
 
-        A server that does not state its start may have restarted: its sequence
-        begins anew. Two heartbeats in order after the drop are taken for that.
+        A server that does not report its start time may have restarted, in which case
+        its sequence starts again from a lower number. Two consecutive heartbeats after
+        the drop are taken as a restart.
         """
-        name = beat.server.name
+        name = heartbeat.server.name
         with self._lock:
-            heard = self._heard.get(name)
-            if heard is None or heard.incarnation != beat.server.incarnation:
+            latest = self._latest.get(name)
+            if latest is None or latest.incarnation != heartbeat.server.incarnation:
                 return False
-            if beat.sequence > heard.sequence:
+            if heartbeat.sequence > latest.sequence:
                 return False
-            dropped_to = self._dropped_to.get(name)
-            self._dropped_to[name] = beat.sequence
-            is_restart = dropped_to is not None and beat.sequence == dropped_to + 1
-            return beat.server.incarnation > 0 or not is_restart
+            lower_sequence = self._lower_sequences.get(name)
+            self._lower_sequences[name] = heartbeat.sequence
+            is_restart = (
+                lower_sequence is not None and heartbeat.sequence == lower_sequence + 1
+            )
+            return heartbeat.server.incarnation > 0 or not is_restart
 
-    def _due(self, beat: Heartbeat) -> Iterator[Command]:
-        server = beat.server
+    def _due(self, heartbeat: Heartbeat) -> Iterator[Command]:
+        server = heartbeat.server
         for other in self._others(server):
             if not other.is_gone:
                 yield RecordServer(replace(other, is_leaving=True, is_gone=True))
         known = self._state.servers.get(server.name)
         if known is not None and known.incarnation == server.incarnation:
-            # A process that leaves does not come back to stay.
+            # A process that has announced its leaving never returns to service.
             is_leaving = known.is_leaving or server.is_leaving
             server = replace(server, is_leaving=is_leaving)
         if known != server:
             yield RecordServer(server)
         is_new_group = self._state.group(server.group) is None
-        if is_new_group and beat.role is Role.PRIMARY:
+        if is_new_group and heartbeat.role is Role.PRIMARY:
             yield BootstrapGroup(server.group, FIRST_TERM, server.name)
 
     def _others(self, server: BackendServer) -> list[BackendServer]:
--- a/packages/failover/src/dogwoodspool_failover/joining.py
+++ b/packages/failover/src/dogwoodspool_failover/joining.py
@@ -1,4 +1,4 @@
-"""Become a member of the control group, and say where this process runs."""
+"""Join the control group and register this process's failure domain."""
 
 from dogwoodspool_api import JoinRequest
 from dogwoodspool_api.const import PATH_JOIN
@@ -29,10 +29,10 @@
 
 
 class JoinCoordinator(Coordinator):
-    """Ask the control group to take this process in until it is a member.
+    """Request membership of the control group until this process is a member.
 
-    A process with an empty disk begins without a vote: it may have been a voter
-    before, and what it had promised then is lost with its disk.
+    A process with an empty disk joins as a learner: it may have been a voter before,
+    and the votes it cast then are lost with its disk.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._client = client
 
     def step(self) -> float:
-        """Ask once where this process is not known as it is."""
+        """Send a join request unless the members list this process as it is."""
         if self._is_known():
             return JOIN_CHECK_SECONDS
         address = self._peers.leader_or_next()
@@ -78,7 +78,7 @@
 
 
 class JoinApi:
-    """Take processes into the control group."""
+    """Add processes to the control group as learners."""
 
     def __init__(self, consensus: ConsensusNode, node: ControlNode) -> None:
         self._consensus = consensus
--- a/packages/failover/src/dogwoodspool_failover/loop.py
+++ b/packages/failover/src/dogwoodspool_failover/loop.py
@@ -1,4 +1,4 @@
-"""What the leader of the control group does on its own."""
+"""Periodic tasks of the leader of the control group."""
 
 from dogwoodspool_common import Clock, GroupState, Phase, log_event
 from dogwoodspool_control.command_queue import CommandQueue
@@ -12,13 +12,13 @@
 from .changes import PrimaryChanges
 from .const import TICK_SECONDS
 from .departures import Departures
-from .detection import PrimaryJudge, PrimaryProbes, Verdict
-from .heartbeats import HeartbeatBook
-from .reports import ReportBook
+from .detection import PrimaryFailureDetector, PrimaryProbes, Verdict
+from .heartbeats import HeartbeatTracker
+from .reports import ReportTracker
 
 
 class FailoverLoop(LeaderTicker):
-    """Look at every group once per tick while this voter leads.
+    """Check every group once per tick while this voter is the leader.
 
     Commands go to the queue and calls to the executor; see ``LeaderTicker``.
     """
@@ -29,10 +29,10 @@
         node: ControlNode,
         state: ControlState,
         *,
-        heartbeats: HeartbeatBook,
-        reports: ReportBook,
+        heartbeats: HeartbeatTracker,
+        reports: ReportTracker,
         probes: PrimaryProbes,
-        judge: PrimaryJudge,
+        detector: PrimaryFailureDetector,
         departures: Departures,
         changes: PrimaryChanges,
         queue: CommandQueue,
@@ -42,45 +42,52 @@
         self._heartbeats = heartbeats
         self._reports = reports
         self._probes = probes
-        self._judge = judge
+        self._detector = detector
         self._departures = departures
         self._changes = changes
         self._queue = queue
 
     def begin_leadership(self) -> None:
-        """Count every server as just heard, and resume what a leader left paused."""
-        self._heartbeats.start_over()
-        self._reports.start_over()
-        self._probes.start_over()
-        self._departures.start_over()
+        """Reset all trackers and resume replicas that an earlier leader left paused.
+
+        Every server then counts as just heard.
+        """
+        self._heartbeats.reset()
+        self._reports.reset()
+        self._probes.reset()
+        self._departures.reset()
         self._queue.clear()
         for name in self._state.groups:
             self._changes.resume_replicas(name)
 
     def look(self) -> None:
-        """Queue the commands that are due and go on with changes of primary."""
+        """Queue the commands that are due and run the changes of primary."""
         for command in self._departures.due_commands():
             if isinstance(command, BeginPromotion):
                 self._timeline.begin(command.group, command.reason)
             self._queue.offer(command)
-        in_trouble = [
+        failing = [
             group.name
             for group in self._state.groups.values()
-            if self._is_in_trouble(group)
+            if self._begin_change_if_failing(group)
         ]
         self._changes.run_missing()
         self._timeline.keep_only(
-            {*in_trouble, *self._state.promotions, *self._changes.groups}
+            {*failing, *self._state.promotions, *self._changes.groups}
         )
 
-    def _is_in_trouble(self, group: GroupState) -> bool:
-        """Begin a change of primary where the present one is in trouble."""
+    def _begin_change_if_failing(self, group: GroupState) -> bool:
+        """Begin a change of primary if the current primary is failing.
+
+        Returns:
+            Whether it is failing.
+        """
         if group.phase is not Phase.STEADY or group.primary is None:
             return False
         primary = self._state.servers.get(group.primary)
         if primary is None or primary.is_gone:
             return False
-        verdict = self._judge.verdict(primary)
+        verdict = self._detector.verdict(primary)
         if verdict is None:
             return False
         log_event(
--- a/packages/failover/src/dogwoodspool_failover/models.py
+++ b/packages/failover/src/dogwoodspool_failover/models.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a backend server said of itself.
+    """A backend server's report of itself.
 
     Attributes:
         server: its description; its incarnation is the time of its start.
-        sequence: grows with each heartbeat of one incarnation.
-        role: its own view of its role; None where it gave none that is known.
+        sequence: increases with each heartbeat of one incarnation.
+        role: the role it reports; None if it reports none or an unknown one.
     """
 
     server: BackendServer
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerState:
-    """A backend server's answer to a question or order.
+    """A backend server's answer to a status request or command.
 
     Attributes:
-        term: the newest term that it knows.
-        received: how far its log is; a replica applies it later.
-        paused_term: the term of the pause that it is in; 0 for none.
-        lag_ms: age of its data.
+        term: the newest term known to the server.
+        received: end of its log; a replica applies it later.
+        paused_term: the term for which it is paused; 0 if it is not paused.
+        lag_ms: age of its data, in milliseconds.
     """
 
     role: Role
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The server that becomes the primary, and how far its log was."""
+    """The server that becomes the primary, and the end of its log."""
 
     server: str
     received: Position
--- a/packages/failover/src/dogwoodspool_failover/reports.py
+++ b/packages/failover/src/dogwoodspool_failover/reports.py
@@ -1,4 +1,4 @@
-"""What proxies report of backend servers that give them trouble."""
+"""Proxies' reports of backend servers that fail for them."""
 
 import threading
 from collections.abc import Iterable
@@ -25,38 +25,38 @@
     report: ServerReport
 
     @property
-    def calls_unreachable(self) -> bool:
-        """Whether the proxy has had no answer for long enough."""
+    def reports_unreachable(self) -> bool:
+        """Whether the proxy got no answer for the failure detection time."""
         refusing = self.report.refusing_ms / MILLISECONDS
         failing = self.report.failing_ms / MILLISECONDS
         return refusing >= REFUSING_SECONDS or failing >= SILENT_SECONDS
 
     @property
-    def calls_stalled(self) -> bool:
-        """Whether the proxy had no answer to writes for long enough."""
+    def reports_stalled(self) -> bool:
+        """Whether the proxy's writes got no answer for ``STALLED_SECONDS``."""
         return self.report.stalled_ms / MILLISECONDS >= STALLED_SECONDS
 
 
-class ReportBook:
-    """Hold each proxy's latest reports for a moment."""
+class ReportTracker:
+    """Keep each proxy's latest reports for ``REPORT_LIFETIME`` seconds."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
         self._latest: dict[str, tuple[float, ServerReports]] = {}
 
-    def start_over(self) -> None:
-        """Forget everything, as at the beginning of a leadership."""
+    def reset(self) -> None:
+        """Discard all reports at the start of a leadership."""
         with self._lock:
             self._latest.clear()
 
-    def take(self, reports: ServerReports) -> None:
-        """Take in one proxy's reports; they replace its earlier ones."""
+    def record(self, reports: ServerReports) -> None:
+        """Record one proxy's reports, replacing its earlier ones."""
         with self._lock:
             self._latest[reports.proxy] = self._clock.now(), reports
 
     def reporters(self, server: str) -> list[Reporter]:
-        """Return the proxies to which a server gives trouble at this time."""
+        """Return the proxies that currently report a server."""
         oldest = self._clock.now() - REPORT_LIFETIME
         with self._lock:
             self._latest = {
--- a/packages/failover/src/dogwoodspool_failover/runtime.py
+++ b/packages/failover/src/dogwoodspool_failover/runtime.py
@@ -1,4 +1,4 @@
-"""Wire one voter's parts together for groups that replicate synchronously."""
+"""Assemble the components of one voter for synchronously replicated groups."""
 
 from concurrent.futures import ThreadPoolExecutor
 from functools import partial
@@ -17,24 +17,24 @@
 from .changes import PrimaryChanges
 from .const import MAX_WATCHERS, WORKER_THREADS
 from .departures import Departures
-from .detection import PrimaryJudge, PrimaryProbes
+from .dependencies import ChangeDependencies
+from .detection import PrimaryFailureDetector, PrimaryProbes
 from .diagnostics import FailoverDiagnostics
-from .heartbeats import HeartbeatBook
+from .heartbeats import HeartbeatTracker
 from .joining import JoinApi
 from .loop import FailoverLoop
-from .parts import ChangeParts
-from .reports import ReportBook
+from .reports import ReportTracker
 from .servers import GroupServers, PromotionService
 from .service import ControlService
-from .voters import VoterUpkeep
+from .voters import VoterMaintenance
 
 
 class FailoverRuntime:
-    """Hold the parts of one voter; the program gives it clock, log and platform.
+    """Hold the components of one voter; the program supplies clock, log and platform.
 
     Args:
-        servers: asks backend servers and gives them orders.
-        service: asks the platform for promotions.
+        servers: queries and commands backend servers.
+        service: requests promotions from the platform.
         wanted_voters: see ``voters.due_change``.
     """
 
@@ -50,11 +50,11 @@
     ) -> None:
         self._executor = ThreadPoolExecutor(WORKER_THREADS, "failover-worker")
         node = ControlNode(consensus)
-        heartbeats = HeartbeatBook(clock, state)
-        reports = ReportBook(clock)
+        heartbeats = HeartbeatTracker(clock, state)
+        reports = ReportTracker(clock)
         probes = PrimaryProbes(clock, servers, self._executor)
         timeline = FailoverTimeline(clock)
-        parts = ChangeParts(
+        dependencies = ChangeDependencies(
             clock=clock,
             node=node,
             state=state,
@@ -65,7 +65,7 @@
             timeline=timeline,
             executor=self._executor,
         )
-        self._changes = PrimaryChanges(parts)
+        self._changes = PrimaryChanges(dependencies)
         self._queue = CommandQueue(clock, node)
         self._loop = FailoverLoop(
             clock,
@@ -74,13 +74,13 @@
             heartbeats=heartbeats,
             reports=reports,
             probes=probes,
-            judge=PrimaryJudge(clock, reports, heartbeats, probes),
-            departures=Departures(clock, state, parts),
+            detector=PrimaryFailureDetector(clock, reports, heartbeats, probes),
+            departures=Departures(clock, state, dependencies),
             changes=self._changes,
             queue=self._queue,
             timeline=timeline,
         )
-        self._voters = VoterUpkeep(consensus, wanted_voters, clock)
+        self._voters = VoterMaintenance(consensus, wanted_voters, clock)
         diagnostics = FailoverDiagnostics(
             consensus, node, state, self._changes, timeline
         )
@@ -99,16 +99,16 @@
 
     @property
     def routes(self) -> list[Route]:
-        """All endpoints of the voter for the system's other processes."""
+        """All endpoints that the voter offers to the system's other processes."""
         return self._routes
 
     @property
     def service(self) -> ControlService:
-        """What outside callers may ask of this voter."""
+        """The operations that external callers may request from this voter."""
         return self._service
 
     def set_up(self) -> None:
-        """Begin to act as soon as this voter leads."""
+        """Start the threads, which act once this voter is the leader."""
         self._queue.set_up()
         self._loop.set_up()
         self._voters.set_up()
--- a/packages/failover/src/dogwoodspool_failover/servers.py
+++ b/packages/failover/src/dogwoodspool_failover/servers.py
@@ -1,4 +1,4 @@
-"""What a change of primary needs of backend servers and of their platform."""
+"""Interfaces to backend servers and their platform used by changes of primary."""
 
 from typing import Protocol
 
@@ -8,42 +8,42 @@
 
 
 class GroupServers(Protocol):
-    """Ask backend servers and give them orders.
+    """Query and command backend servers.
 
     Each method returns the server's state afterwards and raises
-    ``ServerCallError``; all may be repeated.
+    ``ServerCallError``; all are idempotent.
     """
 
     def status(self, server: BackendServer, timeout: float) -> ServerState:
-        """Ask for the state."""
+        """Return the current state."""
         ...
 
     def pause(self, server: BackendServer, term: int, timeout: float) -> ServerState:
-        """Stop a replica from receiving, until it is resumed or restarts."""
+        """Stop replication to a replica until it is resumed or restarts."""
         ...
 
     def resume(self, server: BackendServer, timeout: float) -> ServerState:
-        """Let a paused replica receive again."""
+        """Resume replication to a paused replica."""
         ...
 
     def step_down(
         self, server: BackendServer, term: int, timeout: float
     ) -> ServerState:
-        """Make a primary of a lower term a replica, so that it writes no more."""
+        """Demote a primary of a lower term to a replica; it then accepts no writes."""
         ...
 
 
 class PromotionService(Protocol):
-    """Ask the platform to make a server its group's primary."""
+    """Request the promotion of a server to its group's primary from the platform."""
 
     def promote(
         self, server: BackendServer, holder: str, token: int, timeout: float
     ) -> None:
-        """Order the promotion; it is carried out some time after the answer.
+        """Request the promotion, which is carried out some time after the answer.
 
         Raises:
             PromotionRefusedError: it will not be carried out.
-            PromotionUnknownError: it may be carried out, also after later calls;
-                the token is compared again at that moment.
+            PromotionUnknownError: it may be carried out, even after later calls; the
+                platform compares the token again at that time.
         """
         ...
--- a/packages/failover/src/dogwoodspool_failover/service.py
+++ b/packages/failover/src/dogwoodspool_failover/service.py
@@ -1,4 +1,4 @@
-"""What callers outside the system ask of control, in the system's own words."""
+"""Control operations for callers outside the system, in the system's own models."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,22 +8,22 @@
 from dogwoodspool_control.settings.documents import Document, pack, unpack
 from dogwoodspool_control.state import ControlState
 
-from .heartbeats import HeartbeatBook
+from .heartbeats import HeartbeatTracker
 from .models import Heartbeat
 
 
 class ControlService:
-    """Take heartbeats and documents in, and give the document in force back.
+    """Record heartbeats, apply configuration documents and return the one in force.
 
-    Every method raises ``ControlError`` or ``ConsensusError`` where nothing can be
-    promised; ``LeadershipLostError`` names the leader that should be asked.
+    Every method raises ``ControlError`` or ``ConsensusError`` if its result cannot be
+    guaranteed; ``LeadershipLostError`` names the leader to call instead.
     """
 
     def __init__(
         self,
         node: ControlNode,
         state: ControlState,
-        heartbeats: HeartbeatBook,
+        heartbeats: HeartbeatTracker,
         wake: Callable[[], None],
     ) -> None:
         self._node = node
@@ -33,37 +33,37 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter surely leads now."""
+        """Whether this voter is certain to be the leader now."""
         return self._node.leadership() is not None
 
     def knows_group(self, group: str) -> bool:
         """Tell whether the document in force describes a database group."""
         return self._state.describes_group(group)
 
-    def record_heartbeat(self, beat: Heartbeat) -> None:
-        """Take in a heartbeat; what it changes is committed on return.
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Record a heartbeat; the changes it causes are committed on return.
 
-        Whoever stated its leaving may end once that was acknowledged, and this
-        voter may lose its power right after: so the commit comes first.
+        A server may end as soon as its announcement of leaving is acknowledged, and
+        this voter may lose power right after that. So the commit comes first.
         """
         self._node.require_leadership()
-        self._commit(self._heartbeats.take(beat))
+        self._commit(self._heartbeats.record(heartbeat))
         self._wake()
 
     def end_server(self, name: str, incarnation: int | None) -> None:
-        """Take in that a server's process ends; see ``HeartbeatBook.end``."""
+        """Record that a server's process ends; see ``HeartbeatTracker.end``."""
         self._node.require_leadership()
         self._commit(self._heartbeats.end(name, incarnation))
         self._wake()
 
     def apply_document(self, revision: int, document: Document, author: str) -> int:
-        """Put a document in force; one that is not newer changes nothing.
+        """Apply a document; one that is not newer than the current one has no effect.
 
         Returns:
-            Version of the view from which on it, or a newer one, is in force.
+            Version of the first view in which this document or a newer one is in force.
 
         Raises:
-            CommandRejectedError: it was refused and is not in force.
+            CommandRejectedError: it was rejected and is not in force.
         """
         self._node.require_leadership()
         self._node.commit(ApplyDocument(revision, pack(document), author))
@@ -72,8 +72,8 @@
     def source(self) -> str | None:
         """Return the text of the newest document; None before the first.
 
-        The read is confirmed by a quorum: a voter that was cut off for long must
-        not show an old one.
+        The read is confirmed by a quorum, so that a voter that was cut off for long
+        does not return an outdated document.
         """
         self._node.confirm_read()
         held = self._state.document
--- a/packages/failover/src/dogwoodspool_failover/voters.py
+++ b/packages/failover/src/dogwoodspool_failover/voters.py
@@ -1,4 +1,4 @@
-"""Keep enough voters alive: give votes to learners, and take them from the silent."""
+"""Keep enough live voters: promote learners and demote silent voters."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -15,11 +15,11 @@
 from dogwoodspool_following import Coordinator
 
 from .const import (
-    FORGOTTEN_LEARNER_SECONDS,
+    LEARNER_REMOVAL_SECONDS,
     LIVE_LEARNER_SECONDS,
     MAX_LEARNER_LAG,
     MEMBER_CHANGE_TIMEOUT,
-    MEMBER_LOOK_SECONDS,
+    MEMBER_CHECK_SECONDS,
     SILENT_VOTER_SECONDS,
 )
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A change that is due, with its reason for the log."""
+    """A membership change that is due, with the reason that is logged."""
 
     action: MemberAction
     member: PeerDiagnostics
@@ -46,16 +46,16 @@
     members: Sequence[PeerDiagnostics],
     wanted_voters: int,
 ) -> MemberChange | None:
-    """Return the next change of the members; one at a time.
+    """Return the next membership change, one at a time.
 
-    A voter that is silent keeps its identity and its files and only loses its
-    vote, and only where a learner that is up to date can take it: two of three
-    voters would be left without a spare otherwise.
+    A silent voter keeps its identity and its files and only loses its vote, and only
+    if an up-to-date learner can replace it: otherwise two of three voters would be
+    left, with no spare.
 
     Args:
-        own_id: the leader, which decides.
+        own_id: node id of the leader, which decides.
         members: the members as the leader sees them.
-        wanted_voters: voters with which the control group survives what it must.
+        wanted_voters: number of voters needed to tolerate the required failures.
     """
     others = [one for one in members if one.node_id != own_id]
     silence = {
@@ -66,14 +66,14 @@
     if replaced is not None:
         is_voter = replaced.is_voter
         action = MemberAction.TAKE_VOTE if is_voter else MemberAction.REMOVE
-        return MemberChange(action, replaced, "its address has a newer member")
+        return MemberChange(action, replaced, "a newer member answers at its address")
     voters = [one for one in members if one.is_voter]
     learners = [one for one in others if not one.is_voter]
     ready = [one for one in learners if _is_ready(one)]
     if len(voters) < wanted_voters and ready:
         used = Counter(one.failure_domain for one in voters)
         best = min(ready, key=lambda one: (used[one.failure_domain], one.node_id))
-        return MemberChange(MemberAction.GIVE_VOTE, best, "voters are missing")
+        return MemberChange(MemberAction.GIVE_VOTE, best, "fewer voters than wanted")
     silent = [
         one
         for one in voters
@@ -81,10 +81,14 @@
     ]
     if silent and ready:
         worst = max(silent, key=lambda one: silence[one.node_id])
-        return MemberChange(MemberAction.TAKE_VOTE, worst, "silent, a learner is ready")
+        return MemberChange(
+            MemberAction.TAKE_VOTE, worst, "voter is silent and a learner is ready"
+        )
     for one in learners:
-        if silence[one.node_id] >= FORGOTTEN_LEARNER_SECONDS:
-            return MemberChange(MemberAction.REMOVE, one, "silent for long")
+        if silence[one.node_id] >= LEARNER_REMOVAL_SECONDS:
+            return MemberChange(
+                MemberAction.REMOVE, one, "learner is silent for too long"
+            )
     return None
 
 
@@ -96,12 +100,13 @@
 def _replaced_member(
     own_id: str, members: Sequence[PeerDiagnostics], silence: dict[str, float]
 ) -> PeerDiagnostics | None:
-    """Return a member whose address another one answers at.
+    """Return a member at whose address another member answers.
 
-    Its disk was lost: at its address now runs a process with another identity, and only
-    one that has answered since can be that process. A learner that had just joined, and
-    had yet to answer, was taken for the older one of the two and removed for good; the
-    next voter that was lost took the majority with it.
+    Its disk was lost, and a process with another identity now runs at its address. Only
+    a member that has answered more recently can be that process. Without this rule, a
+    learner that has just joined and not answered yet would be taken for the older of
+    the two and removed permanently, and the loss of the next voter would cost the
+    majority.
     """
     for one in members:
         if one.node_id == own_id:
@@ -119,8 +124,8 @@
     return None
 
 
-class VoterUpkeep(Coordinator):
-    """Carry out changes of the members while this node leads."""
+class VoterMaintenance(Coordinator):
+    """Apply membership changes while this node is the leader."""
 
     def __init__(self, node: ConsensusNode, wanted_voters: int, clock: Clock) -> None:
         super().__init__("voter-upkeep", clock)
@@ -128,10 +133,10 @@
         self._wanted_voters = wanted_voters
 
     def step(self) -> float:
-        """Look once."""
+        """Apply the membership change that is due, if any."""
         leadership = self._node.leadership()
         if leadership is None:
-            return MEMBER_LOOK_SECONDS
+            return MEMBER_CHECK_SECONDS
         diagnostics = self._node.diagnostics()
         change = due_change(
             diagnostics.node_id,
@@ -139,12 +144,10 @@
             self._wanted_voters,
         )
         if change is not None:
-            self._carry_out(change, diagnostics)
-        return MEMBER_LOOK_SECONDS
+            self._apply(change, diagnostics)
+        return MEMBER_CHECK_SECONDS
 
-    def _carry_out(
-        self, change: MemberChange, diagnostics: ConsensusDiagnostics
-    ) -> None:
+    def _apply(self, change: MemberChange, diagnostics: ConsensusDiagnostics) -> None:
         member = change.member
         log_event(
             "member_change",
--- a/tests/failover/fakes.py
+++ b/tests/failover/fakes.py
@@ -1,4 +1,4 @@
-"""A database group in memory, and one voter that leads, without threads."""
+"""An in-memory database group and a leading voter, without threads."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -29,15 +29,15 @@
     ServerState,
 )
 from dogwoodspool_failover.change import PrimaryChange
-from dogwoodspool_failover.heartbeats import HeartbeatBook
-from dogwoodspool_failover.parts import ChangeParts
+from dogwoodspool_failover.dependencies import ChangeDependencies
+from dogwoodspool_failover.heartbeats import HeartbeatTracker
 
 GROUP = "chat"
 SERVERS = ("s1", "s2", "s3")
 
 
-class ImpatientClock(ManualClock):
-    """A clock on which every wait runs out at once."""
+class AutoAdvancingClock(ManualClock):
+    """A clock that advances past every wait at once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,7 +53,7 @@
 
 
 class DirectExecutor(Executor):
-    """Run each call at once, in the thread that submits it."""
+    """Run each call immediately in the thread that submits it."""
 
     def submit(self, fn: Any, /, *args: Any, **kwargs: Any) -> Future[Any]:
         future: Future[Any] = Future()
@@ -95,9 +95,9 @@
     """The servers behind ``GroupServers``, and the platform behind the promotions.
 
     Attributes:
-        orders: what was asked of servers and of the platform, in order.
-        answers: how the platform answers the next calls; True for an order taken.
-        late: calls without an answer, which may still be carried out.
+        orders: commands to servers and to the platform, in sequence.
+        answers: the platform's answers to the next calls; True for an accepted one.
+        late: calls that got no answer and may still be carried out.
     """
 
     servers: dict[str, FakeServer]
@@ -141,10 +141,10 @@
             raise answer
         if isinstance(answer, Exception):
             raise answer
-        self.carry_out(server.name, token)
+        self.complete_promotion(server.name, token)
 
-    def carry_out(self, name: str, token: int) -> None:
-        """Let the platform move the lead, unless a newer call was seen."""
+    def complete_promotion(self, name: str, token: int) -> None:
+        """Move the primary role as the platform does, unless the token is outdated."""
         if token < max(self.tokens, default=0):
             return
         self.tokens.append(token)
@@ -170,24 +170,24 @@
 
 
 class FakeNode:
-    """The log of one voter, which commits at once."""
+    """The log of one voter, which commits immediately."""
 
     def __init__(self, state: ControlState, clock: ManualClock) -> None:
         self._state = state
         self._clock = clock
         self.index = 0
-        self.leads = True
+        self.is_leader = True
         self.leader_address = None
         self.is_following = True
 
     def propose(self, command: dict[str, Any], timeout: float) -> dict[str, Any]:
-        if not self.leads:
+        if not self.is_leader:
             raise NotLeaderError(None)
         self.index += 1
         return self._state.apply(self.index, command)
 
     def leadership(self) -> Leadership | None:
-        if not self.leads:
+        if not self.is_leader:
             return None
         return Leadership(1, 0.0, self._clock.now() + 1)
 
@@ -196,7 +196,7 @@
 
 
 class Voter:
-    """One voter that leads, over a group of three servers."""
+    """A voter that is the leader, with a group of three servers by default."""
 
     def __init__(self, servers: Iterable[FakeServer] = ()) -> None:
         fakes = list(servers) or [
@@ -204,19 +204,19 @@
             FakeServer("s2"),
             FakeServer("s3"),
         ]
-        self.clock = ImpatientClock()
+        self.clock = AutoAdvancingClock()
         self.state = ControlState(self.clock)
         self.log = FakeNode(self.state, self.clock)
         self.node = ControlNode(self.log)
         self.node.catch_up()
         self.group = FakeGroup({fake.name: fake for fake in fakes})
-        self.heartbeats = HeartbeatBook(self.clock, self.state)
+        self.heartbeats = HeartbeatTracker(self.clock, self.state)
         self.timeline = FailoverTimeline(self.clock)
         for fake in fakes:
             self.commit(Record(fake.described()))
         primary = next(one.name for one in fakes if one.role is Role.PRIMARY)
         self.commit(BootstrapGroup(GROUP, 1, primary))
-        self.parts = ChangeParts(
+        self.dependencies = ChangeDependencies(
             clock=self.clock,
             node=self.node,
             state=self.state,
@@ -245,24 +245,26 @@
         self.commit(BeginPromotion(GROUP, group.term, reason))
 
     def change(self, max_pauses: int = 40) -> None:
-        """Work on the change until it ends, or stops leading after some pauses."""
+        """Run the change until it ends; lose leadership after ``max_pauses`` waits."""
         pauses = 0
 
         def count() -> None:
             nonlocal pauses
             pauses += 1
             if pauses >= max_pauses:
-                self.log.leads = False
+                self.log.is_leader = False
 
         self.clock.on_sleep = count
-        PrimaryChange(GROUP, self.parts).run()
-        self.log.leads = True
+        PrimaryChange(GROUP, self.dependencies).run()
+        self.log.is_leader = True
 
-    def beat(self, fake: FakeServer, sequence: int, **changes: Any) -> list[Command]:
-        """Take one heartbeat and commit what it makes due."""
+    def heartbeat(
+        self, fake: FakeServer, sequence: int, **changes: Any
+    ) -> list[Command]:
+        """Record one heartbeat and commit the resulting commands."""
         role = changes.pop("role", fake.role)
-        beat = Heartbeat(fake.described(**changes), sequence, role)
-        commands = self.heartbeats.take(beat)
+        heartbeat = Heartbeat(fake.described(**changes), sequence, role)
+        commands = self.heartbeats.record(heartbeat)
         for command in commands:
             self.node.propose(command)
         return commands
--- a/tests/failover/test_change.py
+++ b/tests/failover/test_change.py
@@ -1,4 +1,4 @@
-"""Tests of a change of primary from its beginning to its end."""
+"""Tests of a change of primary from start to end."""
 
 import unittest
 from dataclasses import replace
@@ -13,13 +13,13 @@
 
 
 class FailoverTests(unittest.TestCase):
-    """After a failure a server with every acknowledged write leads."""
+    """After a failure a server with every acknowledged write becomes the primary."""
 
     def setUp(self) -> None:
         self.voter = Voter()
         self.servers = self.voter.group.servers
 
-    def test_a_dead_primary_is_replaced_by_the_furthest_replica(self) -> None:
+    def test_dead_primary_is_replaced_by_the_most_advanced_replica(self) -> None:
         self.servers["s1"].is_silent = True
         self.servers["s3"].received = Position(1, 101)
         self.voter.begin()
@@ -28,9 +28,9 @@
         self.assertIs(self.servers["s3"].role, Role.PRIMARY)
 
     def test_replicas_are_paused_before_one_is_chosen(self) -> None:
-        # The primary is cut off from control but not from its replicas. It would
-        # go on to acknowledge writes while the lead moves to a server that has
-        # been asked before them.
+        # The primary is cut off from control but not from its replicas. Unless the
+        # replicas are paused, it goes on acknowledging writes that are missing from
+        # the position on which the new primary was chosen.
         self.servers["s1"].is_silent = True
         self.voter.begin()
         self.voter.change()
@@ -39,13 +39,13 @@
         self.assertLess(orders.index(("pause", "s2")), promoted_at)
         self.assertLess(orders.index(("pause", "s3")), promoted_at)
 
-    def test_a_primary_that_answers_is_stopped_first(self) -> None:
+    def test_reachable_primary_is_demoted_before_the_promotion(self) -> None:
         self.voter.begin()
         self.voter.change()
         orders = [order for order, _ in self.voter.group.orders]
         self.assertLess(orders.index("step_down"), orders.index("promote"))
 
-    def test_it_waits_for_a_replica_that_may_have_more(self) -> None:
+    def test_choice_waits_for_a_replica_that_may_be_ahead(self) -> None:
         self.servers["s1"].is_silent = self.servers["s3"].is_silent = True
         self.voter.begin()
         self.voter.change(max_pauses=3)
@@ -55,9 +55,9 @@
         self.voter.change()
         self.assertEqual(self.voter.primary, "s3")
 
-    def test_a_replica_that_restarts_is_asked_again(self) -> None:
-        # A paused replica restarts: its pause is over, and it has received a line
-        # since. What it had said before must not count any more.
+    def test_restarted_replica_is_fenced_again(self) -> None:
+        # A restart ends a replica's pause, and the replica has received a write since.
+        # The position it reported before the restart must not be used.
         change = self.voter
         self.servers["s1"].is_silent = self.servers["s3"].is_silent = True
         change.begin()
@@ -70,7 +70,7 @@
         change.change()
         self.assertEqual(change.primary, "s2")
 
-    def test_each_call_has_a_higher_token(self) -> None:
+    def test_each_promotion_call_carries_a_higher_token(self) -> None:
         self.servers["s1"].is_silent = True
         self.voter.group.answers = [UNKNOWN, True]
         self.voter.begin()
@@ -78,21 +78,21 @@
         late = self.voter.group.late[0]
         self.assertLess(late[1], self.voter.group.tokens[-1])
 
-    def test_a_call_that_is_carried_out_late_changes_nothing(self) -> None:
-        # The order to promote got no answer and another server was promoted. The
-        # platform carries the first order out seconds later: the lead would move
-        # to a server that lacks what was acknowledged since.
+    def test_late_promotion_call_has_no_effect(self) -> None:
+        # A promotion request got no answer, and a later one succeeded. The platform
+        # carries out the first one seconds later, which would move the primary role
+        # to a server without the writes acknowledged since.
         self.servers["s1"].is_silent = True
         self.voter.group.answers = [UNKNOWN, True]
         self.voter.begin()
         self.voter.change()
         leader = self.voter.primary
         name, token = self.voter.group.late[0]
-        self.voter.group.carry_out("s3" if leader == "s2" else "s2", token)
+        self.voter.group.complete_promotion("s3" if leader == "s2" else "s2", token)
         self.assertIs(self.servers[leader or ""].role, Role.PRIMARY)
         self.assertEqual(name, leader)
 
-    def test_a_refused_order_begins_again_under_a_new_term(self) -> None:
+    def test_refused_promotion_is_retried_under_a_new_term(self) -> None:
         self.servers["s1"].is_silent = True
         self.voter.group.answers = [REFUSED, True]
         self.voter.begin()
@@ -102,16 +102,16 @@
         assert group is not None
         self.assertEqual((group.phase, group.term), (Phase.STEADY, 3))
 
-    def test_a_server_that_leads_already_is_taken_over(self) -> None:
-        # An order of an earlier leader of the control group was carried out after
-        # that leader had ended.
+    def test_existing_new_primary_is_adopted(self) -> None:
+        # A promotion requested by an earlier leader of the control group was carried
+        # out after that leader had stopped.
         self.voter.begin()
-        self.voter.group.carry_out("s3", 1)
+        self.voter.group.complete_promotion("s3", 1)
         self.voter.change()
         self.assertEqual(self.voter.primary, "s3")
         self.assertNotIn(("promote", "s2"), self.voter.group.orders)
 
-    def test_the_next_leader_goes_on_where_the_last_one_stopped(self) -> None:
+    def test_next_leader_resumes_the_change(self) -> None:
         self.servers["s1"].is_silent = True
         self.voter.group.answers = [UNKNOWN] * 50
         self.voter.begin()
@@ -120,24 +120,24 @@
         self.voter.change()
         self.assertIn(self.voter.primary, ("s2", "s3"))
 
-    def test_replicas_receive_again_afterwards(self) -> None:
+    def test_replicas_are_resumed_after_the_change(self) -> None:
         self.servers["s1"].is_silent = True
         self.voter.begin()
         self.voter.change()
-        changes = PrimaryChanges(self.voter.parts)
+        changes = PrimaryChanges(self.voter.dependencies)
         changes.resume_replicas(GROUP)
         paused = [one.name for one in self.servers.values() if one.paused_term]
         self.assertEqual(paused, [])
 
 
-class HandoverTests(unittest.TestCase):
-    """A planned change leaves the old primary at work until the lead has moved."""
+class SwitchoverTests(unittest.TestCase):
+    """In a switchover the old primary serves until the primary role has moved."""
 
     def setUp(self) -> None:
         self.voter = Voter()
         self.servers = self.voter.group.servers
 
-    def test_the_old_primary_is_not_stopped(self) -> None:
+    def test_old_primary_is_not_demoted(self) -> None:
         self.voter.begin(PromotionReason.PLANNED)
         self.voter.change()
         orders = self.voter.group.orders
@@ -146,7 +146,7 @@
         self.assertIn(("pause", "s3"), orders)
         self.assertNotIn(("pause", "s2"), orders)
 
-    def test_a_primary_that_dies_meanwhile_is_failed_over(self) -> None:
+    def test_primary_failure_turns_switchover_into_failover(self) -> None:
         self.servers["s1"].is_silent = True
         self.voter.begin(PromotionReason.PLANNED)
         self.voter.change(max_pauses=60)
@@ -154,35 +154,36 @@
 
 
 class DepartureTests(unittest.TestCase):
-    """Servers that leave lose their lead first, and their record last."""
+    """Leaving servers lose the primary role first and their record last."""
 
     def setUp(self) -> None:
         self.voter = Voter()
         self.departures = Departures(
-            self.voter.clock, self.voter.state, self.voter.parts
+            self.voter.clock, self.voter.state, self.voter.dependencies
         )
 
     def due(self) -> list[str]:
         return [type(one).__name__ for one in self.departures.due_commands()]
 
-    def mark(self, name: str, *, is_gone: bool = False) -> None:
+    def mark_leaving(self, name: str, *, is_gone: bool = False) -> None:
         described = self.voter.state.servers[name]
         leaving = replace(described, is_leaving=True, is_gone=is_gone)
         self.voter.commit(RecordServer(leaving))
 
-    def test_a_leaving_primary_hands_over(self) -> None:
-        self.mark("s1")
+    def test_leaving_primary_triggers_a_switchover(self) -> None:
+        self.mark_leaving("s1")
         self.assertEqual(self.due(), ["BeginPromotion"])
 
-    def test_without_a_successor_it_stays(self) -> None:
+    def test_leaving_primary_without_successor_keeps_its_role(self) -> None:
         for name in ("s1", "s2", "s3"):
-            self.mark(name)
+            self.mark_leaving(name)
         self.assertEqual(self.due(), [])
 
-    def test_an_ended_replica_is_kept_until_another_has_its_writes(self) -> None:
-        # A line was acknowledged with the help of a replica that then left. The
-        # primary dies next, and the replica that is left never had the line.
-        self.mark("s3", is_gone=True)
+    def test_ended_replica_is_kept_until_another_replica_has_its_writes(self) -> None:
+        # A write was acknowledged by a replica that then ended. If that replica were
+        # removed and the primary failed next, the remaining replica, which never
+        # received the write, would be promoted.
+        self.mark_leaving("s3", is_gone=True)
         self.voter.group.servers["s1"].received = Position(1, 120)
         self.assertEqual(self.due(), [])
         self.voter.clock.advance(1)
@@ -194,10 +195,10 @@
 
 
 class FakeServerTests(unittest.TestCase):
-    """The fake keeps the platform's own rule about late calls."""
+    """The fake follows the platform's rule for late promotion calls."""
 
-    def test_an_older_token_is_ignored(self) -> None:
+    def test_call_with_an_older_token_is_ignored(self) -> None:
         voter = Voter([FakeServer("s1", Role.PRIMARY), FakeServer("s2")])
-        voter.group.carry_out("s2", 9)
-        voter.group.carry_out("s1", 8)
+        voter.group.complete_promotion("s2", 9)
+        voter.group.complete_promotion("s1", 8)
         self.assertIs(voter.group.servers["s2"].role, Role.PRIMARY)
--- a/tests/failover/test_choice.py
+++ b/tests/failover/test_choice.py
@@ -6,10 +6,10 @@
 from dogwoodspool_common import BackendServer, Position, Role
 from dogwoodspool_failover.choice import (
     FailoverInput,
-    HandoverInput,
+    SwitchoverInput,
     choose_primary,
     choose_successor,
-    is_handover_safe,
+    is_switchover_safe,
 )
 from dogwoodspool_failover.models import ServerState
 from hypothesis import given, settings
@@ -31,47 +31,47 @@
 class ChoosePrimaryTests(unittest.TestCase):
     """The chosen server has every acknowledged write, or none is chosen."""
 
-    def test_the_furthest_replica_is_chosen(self) -> None:
+    def test_most_advanced_replica_is_chosen(self) -> None:
         given_ = FailoverInput(
             members("s1", "s2", "s3"), {"s2": state(7), "s3": state(9)}, ("s1",)
         )
         self.assertEqual(choose_primary(given_).ok.server, "s3")
 
-    def test_with_a_silent_replica_the_old_primary_is_needed(self) -> None:
-        # The only replica that has a line is silent, and the primary is dead. The
-        # other replica would be promoted without the line, which was acknowledged.
+    def test_silent_replica_makes_the_old_primary_required(self) -> None:
+        # The only replica with an acknowledged write is silent, and the primary is
+        # dead. The other replica would be promoted without that write.
         given_ = FailoverInput(members("s1", "s2", "s3"), {"s2": state(7)}, ("s1",))
         refusal = choose_primary(given_).error
         self.assertEqual(set(refusal.waiting_for), {"s1", "s3"})
 
-    def test_a_replica_that_covers_the_stopped_primary_is_chosen(self) -> None:
-        frozen = {"s1": state(9), "s2": state(9)}
+    def test_replica_level_with_the_demoted_primary_is_chosen(self) -> None:
+        fenced = {"s1": state(9), "s2": state(9)}
         given_ = FailoverInput(
-            members("s1", "s2", "s3"), frozen, ("s1",), unwanted=("s1",)
+            members("s1", "s2", "s3"), fenced, ("s1",), unwanted=("s1",)
         )
         self.assertEqual(choose_primary(given_).ok.server, "s2")
 
-    def test_else_the_stopped_primary_itself_goes_on(self) -> None:
-        frozen = {"s1": state(9), "s2": state(8)}
+    def test_demoted_primary_is_chosen_if_no_replica_has_its_writes(self) -> None:
+        fenced = {"s1": state(9), "s2": state(8)}
         given_ = FailoverInput(
-            members("s1", "s2", "s3"), frozen, ("s1",), unwanted=("s1",)
+            members("s1", "s2", "s3"), fenced, ("s1",), unwanted=("s1",)
         )
         self.assertEqual(choose_primary(given_).ok.server, "s1")
 
-    def test_what_only_the_primary_has_was_not_acknowledged(self) -> None:
-        frozen = {"s1": state(12), "s2": state(8), "s3": state(9)}
+    def test_writes_only_on_the_primary_count_as_unacknowledged(self) -> None:
+        fenced = {"s1": state(12), "s2": state(8), "s3": state(9)}
         given_ = FailoverInput(
-            members("s1", "s2", "s3"), frozen, ("s1",), unwanted=("s1",)
+            members("s1", "s2", "s3"), fenced, ("s1",), unwanted=("s1",)
         )
         self.assertEqual(choose_primary(given_).ok.server, "s3")
 
-    def test_a_server_that_ended_still_counts_until_it_is_covered(self) -> None:
+    def test_ended_server_counts_until_its_writes_are_preserved(self) -> None:
         ended = [*members("s1", "s2", "s3")]
         ended[2] = replace(ended[2], is_gone=True)
         given_ = FailoverInput(ended, {"s2": state(7)}, ("s1",))
         self.assertTrue(choose_primary(given_).is_error())
 
-    def test_a_server_that_stays_goes_before_one_that_leaves(self) -> None:
+    def test_staying_server_is_preferred_to_a_leaving_one(self) -> None:
         servers = members("s1", "s2", "s3")
         servers[1] = replace(servers[1], is_leaving=True)
         given_ = FailoverInput(servers, {"s2": state(9), "s3": state(9)}, ("s1",))
@@ -102,26 +102,26 @@
             self.assertGreaterEqual(chosen.ok.received.offset, acknowledged)
 
 
-class HandoverTests(unittest.TestCase):
-    """A working primary hands over without a pause for writes."""
+class SwitchoverTests(unittest.TestCase):
+    """A switchover from a working primary does not interrupt writes."""
 
-    def test_the_furthest_replica_that_stays_is_the_successor(self) -> None:
+    def test_most_advanced_staying_replica_is_the_successor(self) -> None:
         servers = members("s1", "s2", "s3")
         servers[2] = replace(servers[2], is_leaving=True)
-        given_ = HandoverInput("s1", servers, {"s2": state(7), "s3": state(9)})
+        given_ = SwitchoverInput("s1", servers, {"s2": state(7), "s3": state(9)})
         self.assertEqual(choose_successor(given_).ok.server, "s2")
 
-    def test_it_waits_while_another_replica_may_still_receive(self) -> None:
-        # The old primary acknowledges a line with the help of a replica that is
-        # not paused, and then the lead moves to the one without the line.
-        given_ = HandoverInput(
+    def test_switchover_waits_until_other_replicas_are_paused(self) -> None:
+        # A replica that is not paused lets the old primary acknowledge a write that
+        # the successor does not have when it becomes the primary.
+        given_ = SwitchoverInput(
             "s1", members("s1", "s2", "s3"), {"s2": state(9), "s3": state(9)}
         )
-        self.assertFalse(is_handover_safe(given_, "s2", {}))
-        self.assertTrue(is_handover_safe(given_, "s2", {"s3": state(9)}))
+        self.assertFalse(is_switchover_safe(given_, "s2", {}))
+        self.assertTrue(is_switchover_safe(given_, "s2", {"s3": state(9)}))
 
-    def test_it_waits_until_the_successor_has_what_the_paused_have(self) -> None:
-        given_ = HandoverInput(
+    def test_switchover_waits_until_the_successor_reaches_paused_replicas(self) -> None:
+        given_ = SwitchoverInput(
             "s1", members("s1", "s2", "s3"), {"s2": state(8), "s3": state(9)}
         )
-        self.assertFalse(is_handover_safe(given_, "s2", {"s3": state(9)}))
+        self.assertFalse(is_switchover_safe(given_, "s2", {"s3": state(9)}))
--- a/tests/failover/test_poll_load.py
+++ b/tests/failover/test_poll_load.py
@@ -1,10 +1,11 @@
-"""Tests of a control process that more proxies poll than it has threads.
+"""Tests of a control process polled by more proxies than it has threads.
 
-After a loss of power no proxy got a view, so that nothing was served and no change came
-into force. All proxies asked for their first view, which a control process gives once a
-quorum has confirmed it. Each question held one of its 24 threads for 0.4 s, and votes,
-which time out after 0.5 s, stood in the queue behind the questions. With 194 proxies
-and three of five control processes left, 763 elections in 40 s had no leader.
+After a power loss all proxies poll for their first view, which a control process
+returns only once a quorum has confirmed it. If each poll holds a thread, votes queue
+behind the polls and time out, so no leader is elected: no proxy gets a view, nothing is
+served and no change comes into force. With 24 threads, polls of 0.4 s and a vote
+timeout of 0.5 s, 194 proxies on the three control processes left of five led to 763
+elections in 40 s without a leader.
 """
 
 import json
@@ -29,7 +30,7 @@
 from .fakes import FakeGroup
 
 PROXIES = 76
-PATIENCE_SECONDS = 10.0
+ANSWER_TIMEOUT_SECONDS = 10.0
 FIRST_POLL = f"{PATH_WATCH}?after=0&wait_ms=1000&confirmed=1"
 VOTERS = {f"v{n}": Address("127.0.0.1", n) for n in (1, 2, 3)}
 VOTE_REQUEST = {
@@ -45,7 +46,7 @@
 
 
 class PollLoadTests(unittest.TestCase):
-    """All proxies ask one process for their first view, and it has no leader."""
+    """All proxies poll one process for their first view while it has no leader."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
@@ -69,14 +70,14 @@
         server = JsonServer(Address("127.0.0.1", 0), None, runtime.routes, HTTP_THREADS)
         server.set_up()
         self.addCleanup(server.unload)
-        # Ends the waits, so that the threads do.
+        # Ends the waits, so that the server's threads can stop.
         self.addCleanup(self.clock.advance, 3600.0)
         self.address = server.address
 
-    def ask(self, method: str, target: str, body: object = None) -> socket.socket:
+    def send(self, method: str, target: str, body: object = None) -> socket.socket:
         content = b"" if body is None else json.dumps(body).encode()
         sock = socket.create_connection(
-            (self.address.host, self.address.port), PATIENCE_SECONDS
+            (self.address.host, self.address.port), ANSWER_TIMEOUT_SECONDS
         )
         self.stack.callback(sock.close)
         head = f"{method} {target} HTTP/1.1\r\nHost: v1\r\n"
@@ -88,33 +89,35 @@
         try:
             return int(sock.recv(4096).split(b" ")[1])
         except TimeoutError:
-            self.fail("no answer came")
+            self.fail("no answer arrived within the timeout")
 
-    def test_polls_leave_threads_to_the_election_that_they_wait_for(self) -> None:
-        """Guard against a crowd of polls that keeps a group from electing."""
+    def test_polls_leave_threads_for_the_election_they_wait_for(self) -> None:
+        """Guard against polls that occupy all threads and block an election."""
         with ExitStack() as self.stack:
             for _ in range(PROXIES):
-                self.ask("GET", FIRST_POLL)
-            vote = self.ask("POST", "/raft/vote", VOTE_REQUEST)
+                self.send("GET", FIRST_POLL)
+            vote = self.send("POST", "/raft/vote", VOTE_REQUEST)
             self.assertEqual(self.status(vote), 200)
 
     def test_polls_beyond_the_slots_are_answered_at_once(self) -> None:
-        """Guard against polls that wait unseen, and against those that do not pause."""
+        """Guard against excess polls left unanswered, and against immediate retries."""
         with ExitStack() as self.stack:
-            polls = [self.ask("GET", FIRST_POLL) for _ in range(PROXIES)]
+            polls = [self.send("GET", FIRST_POLL) for _ in range(PROXIES)]
             pauses: list[int] = []
-            give_up_at = time.monotonic() + PATIENCE_SECONDS
+            give_up_at = time.monotonic() + ANSWER_TIMEOUT_SECONDS
             while len(pauses) < PROXIES - MAX_WATCHERS:
-                self.assertLess(time.monotonic(), give_up_at, "polls wait unseen")
+                self.assertLess(
+                    time.monotonic(), give_up_at, "excess polls are not answered"
+                )
                 answered = [one for one in polls if self.has_answer(one)]
-                pauses += [self.pause_ms(one) for one in answered]
+                pauses += [self.retry_after_ms(one) for one in answered]
                 polls = [one for one in polls if one not in answered]
             self.assertEqual(len(polls), MAX_WATCHERS)
-            # Each comes back at a time of its own.
+            # Every poll is given a different time to retry.
             self.assertEqual(len(set(pauses)), len(pauses))
             self.assertGreater(min(pauses), 0)
 
-    def pause_ms(self, sock: socket.socket) -> int:
+    def retry_after_ms(self, sock: socket.socket) -> int:
         body = sock.recv(4096).partition(b"\r\n\r\n")[2]
         answer = json.loads(body)
         self.assertIsNone(answer["view"])
@@ -127,4 +130,4 @@
         except TimeoutError:
             return False
         finally:
-            sock.settimeout(PATIENCE_SECONDS)
+            sock.settimeout(ANSWER_TIMEOUT_SECONDS)
--- a/tests/failover/test_voters.py
+++ b/tests/failover/test_voters.py
@@ -1,4 +1,4 @@
-"""Tests of which member of the control group has a vote."""
+"""Tests of which members of the control group are voters."""
 
 import unittest
 from dataclasses import replace
@@ -14,7 +14,7 @@
 
 
 class DueChangeTests(unittest.TestCase):
-    """The control group keeps as many live voters as it can."""
+    """The control group keeps as many live voters as possible."""
 
     def setUp(self) -> None:
         self.members = [member("n1"), member("n2"), member("n3")]
@@ -27,9 +27,9 @@
     def test_nothing_is_due_while_all_answer(self) -> None:
         self.assertIsNone(self.due(*self.members, self.spare))
 
-    def test_a_silent_voter_loses_its_vote_to_a_learner(self) -> None:
-        # A voter's instance is lost for good. When a second one is lost a few
-        # seconds later, the group must still have a majority.
+    def test_silent_voter_is_replaced_by_a_learner(self) -> None:
+        # A voter's instance is lost permanently. The group must still have a majority
+        # when a second one is lost a few seconds later.
         silent = member("n3", silent=3.0)
         voters = [*self.members[:2], silent]
         due = self.due(*voters, self.spare)
@@ -38,15 +38,15 @@
         due = self.due(*demoted, self.spare)
         self.assertEqual(due, (MemberAction.GIVE_VOTE, "n4"))
 
-    def test_without_a_learner_the_silent_voter_keeps_it(self) -> None:
+    def test_silent_voter_keeps_its_vote_without_a_learner(self) -> None:
         self.assertIsNone(self.due(*self.members[:2], member("n3", silent=60.0)))
 
-    def test_a_learner_that_is_silent_or_behind_takes_no_vote(self) -> None:
+    def test_silent_or_lagging_learner_does_not_become_a_voter(self) -> None:
         voters = self.members[:2]
         self.assertIsNone(self.due(*voters, replace(self.spare, silent_s=5.0)))
         self.assertIsNone(self.due(*voters, replace(self.spare, lag=5_000)))
 
-    def test_a_member_whose_disk_was_lost_is_removed(self) -> None:
+    def test_member_that_lost_its_disk_is_removed(self) -> None:
         # Its instance runs again at the same address under another identity.
         lost = member("n3", silent=1.0)
         back = replace(member("n9", is_voter=False), address=lost.address)
@@ -55,12 +55,13 @@
         due = self.due(*self.members[:2], replace(lost, is_voter=False), back)
         self.assertEqual(due, (MemberAction.REMOVE, "n3"))
 
-    def test_who_has_just_joined_is_not_taken_for_the_one_it_replaces(self) -> None:
-        # A control process lost its disk and was back within a second and a half. The
-        # leader looked between its joining and its first answer, found it silent for
-        # all its leadership and the lost identity for a second only, and removed the
-        # wrong one for good. When a failure domain was cut off four seconds later, two
-        # of three voters were gone, and no primary was replaced until the cut healed.
+    def test_new_member_is_not_mistaken_for_the_one_it_replaces(self) -> None:
+        # A control process loses its disk and rejoins within 1.5 s. Between its joining
+        # and its first answer, the leader must not count it as silent for the whole
+        # leadership: it would seem silent for longer than the lost identity, which fell
+        # silent a second ago, and would be removed permanently instead of it. If a
+        # failure domain is then cut off, as four seconds later, two of three voters are
+        # gone and no primary can be replaced until the partition heals.
         lost = member("n3", silent=1.4)
         joined = replace(
             member("n9", is_voter=False),
@@ -73,7 +74,7 @@
         due = self.due(*self.members[:2], lost, answered)
         self.assertEqual(due, (MemberAction.TAKE_VOTE, "n3"))
 
-    def test_an_identity_that_never_answered_a_new_leader_is_replaced(self) -> None:
+    def test_member_that_never_answered_a_new_leader_is_replaced(self) -> None:
         lost = replace(member("n3"), silent_s=None, followed_s=1.0)
         back = replace(member("n9", is_voter=False), address=lost.address)
         due = self.due(*self.members[:2], lost, back)
