--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/upkeep.py
@@ -10,7 +10,7 @@
 from ..commands import Command, LowerLeaseBound, SettleWriteAcks
 from ..const import AUDIT_SECONDS, FRESH_RENEW_INTERVALS
 from ..grants.grants import GrantTable
-from ..promotion.parts import RoleChangers
+from ..promotion.dependencies import RoleChangers
 from ..promotion.sightings import Sightings
 from ..state import ControlState
 
--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -17,8 +17,8 @@
 from ..models import ChoiceRefusal, Promotion, PromotionReason
 from ..progress import PromotionProgress
 from .candidates import Choice, ChoiceInput, choose_candidate
+from .dependencies import PromotionDependencies
 from .failovers import FailoverPhase
-from .parts import PromotionParts
 from .server_poll import ServerPoll
 
 
@@ -30,20 +30,23 @@
     """
 
     def __init__(
-        self, promotion: Promotion, parts: PromotionParts, progress: PromotionProgress
+        self,
+        promotion: Promotion,
+        dependencies: PromotionDependencies,
+        progress: PromotionProgress,
     ) -> None:
         self._promotion = promotion
-        self._parts = parts
+        self._dependencies = dependencies
         self._progress = progress
-        self._changer = parts.role_changers.of_group(promotion.group)
+        self._changer = dependencies.role_changers.of_group(promotion.group)
         self._release = GroupRelease(
             promotion,
             self._drain_ms(),
-            clock=parts.clock,
-            table=parts.table,
-            ages=parts.ages,
-            client=parts.release_client,
-            executor=parts.executor,
+            clock=dependencies.clock,
+            table=dependencies.table,
+            ages=dependencies.ages,
+            client=dependencies.release_client,
+            executor=dependencies.executor,
         )
 
     def run(self) -> None:
@@ -56,26 +59,26 @@
         """
         group = self._promotion.group
         self._await_release()
-        self._parts.timeline.mark(group, FailoverPhase.RELEASED)
+        self._dependencies.timeline.mark(group, FailoverPhase.RELEASED)
         choice = self._await_choice()
         command = ChoosePrimary(
             group, self._promotion.term, choice.server, choice.offset
         )
-        self._parts.node.commit(command)
-        self._parts.timeline.mark(
+        self._dependencies.node.commit(command)
+        self._dependencies.timeline.mark(
             group, FailoverPhase.CHOSEN, server=choice.server, offset=choice.offset
         )
 
     def _drain_ms(self) -> int:
         if self._promotion.reason is not PromotionReason.PLANNED:
             return 0
-        settings = self._parts.state.settings.effective(self._promotion.group)
+        settings = self._dependencies.state.settings.effective(self._promotion.group)
         return settings.release_drain_ms
 
     def _await_release(self) -> None:
         while True:
-            self._parts.node.require_leadership()
-            proxies = self._parts.state.proxies
+            self._dependencies.node.require_leadership()
+            proxies = self._dependencies.state.proxies
             self._release.ask(proxies)
             progress = self._release.progress(proxies)
             if progress.is_done:
@@ -85,13 +88,15 @@
 
     def _await_choice(self) -> Choice:
         must_catch_up = self._fence_old_primary()
-        began_at = self._parts.clock.now()
-        poll = ServerPoll(self._parts.clock, self._changer, self._parts.executor)
+        began_at = self._dependencies.clock.now()
+        poll = ServerPoll(
+            self._dependencies.clock, self._changer, self._dependencies.executor
+        )
         while True:
-            self._parts.node.require_leadership()
-            waited = self._parts.clock.now() - began_at
+            self._dependencies.node.require_leadership()
+            waited = self._dependencies.clock.now() - began_at
             must_catch_up = must_catch_up and waited < CATCH_UP_SECONDS
-            servers = self._parts.state.servers_of(self._promotion.group)
+            servers = self._dependencies.state.servers_of(self._promotion.group)
             poll.ask(servers)
             if poll.is_waiting:
                 poll.wait_for_answer(STATUS_POLL_SECONDS)
@@ -125,13 +130,13 @@
         must_catch_up: bool,
     ) -> Result[Choice, ChoiceRefusal]:
         promotion = self._promotion
-        group = self._parts.state.group(promotion.group)
+        group = self._dependencies.state.group(promotion.group)
         return choose_candidate(
             ChoiceInput(
                 promotion=promotion,
                 servers=servers,
                 statuses=statuses,
-                acks=self._parts.table.knowledge(promotion.group),
+                acks=self._dependencies.table.knowledge(promotion.group),
                 term_starts=() if group is None else group.term_starts,
                 may_keep_primary=self._may_keep_primary(),
                 must_catch_up=must_catch_up,
@@ -142,7 +147,7 @@
         # To the proxies it may still be unreachable; promoting it again would
         # only begin the next failover.
         promotion = self._promotion
-        return not self._parts.is_failed(promotion.group, promotion.old_primary)
+        return not self._dependencies.is_failed(promotion.group, promotion.old_primary)
 
     def _fence_old_primary(self) -> bool:
         """End writes at the old primary of a planned promotion.
@@ -153,7 +158,7 @@
         promotion = self._promotion
         if promotion.reason is not PromotionReason.PLANNED:
             return False
-        servers = self._parts.state.servers
+        servers = self._dependencies.state.servers
         old_primary = servers.get(promotion.old_primary)
         if old_primary is None:
             return False
@@ -168,5 +173,5 @@
     def _note_refusal(self, refusal: ChoiceRefusal) -> None:
         self._progress.note("choice", refusal.waiting_for, refusal.reason)
         # A proxy that could not be reached before may tell what it acknowledged.
-        self._release.ask(self._parts.state.proxies)
-        self._parts.clock.sleep(STATUS_POLL_SECONDS)
+        self._release.ask(self._dependencies.state.proxies)
+        self._dependencies.clock.sleep(STATUS_POLL_SECONDS)
--- a/packages/control/src/dogwoodspool_control/promotion/parts.py
+++ b/packages/control/src/dogwoodspool_control/promotion/dependencies.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromotionParts:
+class PromotionDependencies:
     """The objects that promotions of all groups work with.
 
     Attributes:
--- a/packages/control/src/dogwoodspool_control/promotion/planned.py
+++ b/packages/control/src/dogwoodspool_control/promotion/planned.py
@@ -10,8 +10,8 @@
 from ..models import PromotionReason
 from ..node import ControlNode
 from ..state import ControlState
+from .dependencies import RoleChangers
 from .failovers import FailoverTimeline
-from .parts import RoleChangers
 
 
 class PlannedPromotions:
--- a/packages/control/src/dogwoodspool_control/promotion/promote_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/promote_step.py
@@ -7,20 +7,23 @@
 from ..const import PROMOTE_ATTEMPT_SECONDS, PROMOTE_RETRY_SECONDS
 from ..models import Promotion, PromotionReason
 from ..progress import PromotionProgress
+from .dependencies import PromotionDependencies
 from .failovers import FailoverPhase
-from .parts import PromotionParts
 
 
 class PromoteStep:
     """Carry one promotion from its committed choice to its end."""
 
     def __init__(
-        self, promotion: Promotion, parts: PromotionParts, progress: PromotionProgress
+        self,
+        promotion: Promotion,
+        dependencies: PromotionDependencies,
+        progress: PromotionProgress,
     ) -> None:
         self._promotion = promotion
-        self._parts = parts
+        self._dependencies = dependencies
         self._progress = progress
-        self._changer = parts.role_changers.of_group(promotion.group)
+        self._changer = dependencies.role_changers.of_group(promotion.group)
 
     def run(self) -> None:
         """Promote the chosen server and end the promotion.
@@ -33,23 +36,25 @@
         if status is None:
             self._begin_again()
             return
-        self._parts.timeline.mark(group, FailoverPhase.PROMOTED, term=term)
+        self._dependencies.timeline.mark(group, FailoverPhase.PROMOTED, term=term)
         self._tell_others()
-        self._parts.node.commit(EndPromotion(group, term, status.position.offset))
-        self._parts.timeline.mark(group, FailoverPhase.ENDED, term=term)
+        self._dependencies.node.commit(
+            EndPromotion(group, term, status.position.offset)
+        )
+        self._dependencies.timeline.mark(group, FailoverPhase.ENDED, term=term)
 
     def _await_promoted(self) -> ServerStatus | None:
-        deadline = self._parts.clock.now() + PROMOTE_ATTEMPT_SECONDS
-        while self._parts.clock.now() < deadline:
-            self._parts.node.require_leadership()
-            server = self._parts.state.servers.get(self._promotion.chosen or "")
+        deadline = self._dependencies.clock.now() + PROMOTE_ATTEMPT_SECONDS
+        while self._dependencies.clock.now() < deadline:
+            self._dependencies.node.require_leadership()
+            server = self._dependencies.state.servers.get(self._promotion.chosen or "")
             if server is None:
                 return None
             self._progress.note("promote", (server.name,))
             status = self._promote(server)
             if status is not None:
                 return status
-            self._parts.clock.sleep(PROMOTE_RETRY_SECONDS)
+            self._dependencies.clock.sleep(PROMOTE_RETRY_SECONDS)
         return None
 
     def _promote(self, server: BackendServer) -> ServerStatus | None:
@@ -64,7 +69,7 @@
         return status
 
     def _is_promoted(self, status: ServerStatus) -> bool:
-        group = self._parts.state.group(self._promotion.group)
+        group = self._dependencies.state.group(self._promotion.group)
         if group is None or not group.term_starts:
             return False
         # A server that restarted since the choice may have lost entries that it
@@ -82,16 +87,16 @@
             reason=PromotionReason.FAILED,
             is_retry=True,
         )
-        self._parts.node.commit(command)
+        self._dependencies.node.commit(command)
 
     def _tell_others(self) -> None:
         """Let the other servers follow at once; the reconciler repeats it."""
-        servers = self._parts.state.servers_of(self._promotion.group)
+        servers = self._dependencies.state.servers_of(self._promotion.group)
         chosen = [one for one in servers if one.name == self._promotion.chosen]
         for primary in chosen:
             for server in servers:
                 if server.name != primary.name:
-                    self._parts.executor.submit(
+                    self._dependencies.executor.submit(
                         follow,
                         self._changer,
                         server,
--- a/packages/control/src/dogwoodspool_control/promotion/reconciler.py
+++ b/packages/control/src/dogwoodspool_control/promotion/reconciler.py
@@ -7,7 +7,7 @@
 
 from ..const import FOLLOW_RETRY_SECONDS
 from ..state import ControlState
-from .parts import RoleChangers
+from .dependencies import RoleChangers
 from .promote_step import follow
 from .sightings import Sighting, Sightings
 
--- a/packages/control/src/dogwoodspool_control/runtime.py
+++ b/packages/control/src/dogwoodspool_control/runtime.py
@@ -21,9 +21,9 @@
 from .membership.membership import Membership
 from .membership.upkeep import AckAudit, LeaseBoundUpkeep
 from .node import ControlNode
+from .promotion.dependencies import PromotionDependencies, RoleChangers
 from .promotion.detector import FailureDetector
 from .promotion.failovers import FailoverTimeline
-from .promotion.parts import PromotionParts, RoleChangers
 from .promotion.planned import PlannedPromotions
 from .promotion.promoter import Promotions
 from .promotion.reconciler import Reconciler
@@ -61,7 +61,7 @@
         sightings = Sightings(clock)
         self._queue = CommandQueue(clock, node)
         self._promotions = Promotions(
-            PromotionParts(
+            PromotionDependencies(
                 clock=clock,
                 node=node,
                 state=state,
--- a/tests/control/fakes.py
+++ b/tests/control/fakes.py
@@ -38,8 +38,8 @@
 from dogwoodspool_control.membership.incarnations import IncarnationAges
 from dogwoodspool_control.models import Outcome, ProxyRecord
 from dogwoodspool_control.node import ControlNode
+from dogwoodspool_control.promotion.dependencies import PromotionDependencies
 from dogwoodspool_control.promotion.failovers import FailoverTimeline
-from dogwoodspool_control.promotion.parts import PromotionParts
 from dogwoodspool_control.state import ControlState
 
 GROUP = "chat"
@@ -195,15 +195,15 @@
         """Commit a command that must be accepted."""
         return self.node.commit(command)
 
-    def parts(
+    def dependencies(
         self,
         servers: FakeServers,
         proxies: FakeProxies,
         executor: ThreadPoolExecutor,
         is_failed: bool = True,
-    ) -> PromotionParts:
+    ) -> PromotionDependencies:
         """Return the parts of promotions."""
-        return PromotionParts(
+        return PromotionDependencies(
             clock=self.clock,
             node=self.node,
             state=self.state,
--- a/tests/control/promotion/test_promotion.py
+++ b/tests/control/promotion/test_promotion.py
@@ -66,8 +66,10 @@
     def promote(
         self, voter: Voter, seconds: float = 5.0, is_failed: bool = True
     ) -> bool:
-        parts = voter.parts(self.servers, self.proxies, self.executor, is_failed)
-        return run_advancing(self.clock, Promoter(GROUP, parts).run, seconds)
+        dependencies = voter.dependencies(
+            self.servers, self.proxies, self.executor, is_failed
+        )
+        return run_advancing(self.clock, Promoter(GROUP, dependencies).run, seconds)
 
     def renew(self, voter: Voter, *names: str) -> None:
         for name in names:
@@ -271,8 +273,10 @@
         self.renew(self.voter, "p1")
         self.proxies.silent = {"p1"}
         self.voter.commit(BEGIN)
-        parts = self.voter.parts(self.servers, self.proxies, self.executor)
-        promotions = Promotions(parts)
+        dependencies = self.voter.dependencies(
+            self.servers, self.proxies, self.executor
+        )
+        promotions = Promotions(dependencies)
         promotions.run_missing()
         promotions.run_missing()
         # The clock stands still, so that the promoter waits for p1's lease.
