--- a/packages/control/src/dogwoodspool_control/grants/renewals.py
+++ b/packages/control/src/dogwoodspool_control/grants/renewals.py
@@ -14,7 +14,7 @@
 from ..models import Lease, PromotionReason, ProxyRecord
 from ..node import ControlNode
 from ..promotion.detector import FailureDetector
-from ..promotion.sightings import Sightings
+from ..promotion.server_observations import ServerObservations
 from ..state import ControlState
 from .grants import GrantTable
 from .shares import ServerLimits, ShareLedger, ShareRequest, divide_connections
@@ -55,7 +55,7 @@
         table: GrantTable,
         ledger: ShareLedger,
         detector: FailureDetector,
-        sightings: Sightings,
+        server_observations: ServerObservations,
         queue: CommandQueue,
         rate: RenewalRate,
         on_trouble: Callable[[], None],
@@ -66,7 +66,7 @@
         self._table = table
         self._ledger = ledger
         self._detector = detector
-        self._sightings = sightings
+        self._server_observations = server_observations
         self._queue = queue
         self._rate = rate
         self._on_trouble = on_trouble
@@ -97,7 +97,7 @@
             self._note_renewal(request, received_at)
             if any(item.unreachable_ms > 0 for item in request.observations):
                 self._on_trouble()
-        self._sightings.observe(request)
+        self._server_observations.observe(request)
         shares = self._share(request, lease) if lease.is_registered else {}
         if self._node.require_leadership().term != leadership.term:
             raise LeadershipLostError
--- a/packages/control/src/dogwoodspool_control/leader.py
+++ b/packages/control/src/dogwoodspool_control/leader.py
@@ -16,7 +16,7 @@
 from .promotion.failovers import FailoverTimeline
 from .promotion.promoter import Promotions
 from .promotion.reconciler import Reconciler
-from .promotion.sightings import Sightings
+from .promotion.server_observations import ServerObservations
 from .state import ControlState
 from .ticking import LeaderTicker
 
@@ -68,7 +68,7 @@
         ages: IncarnationAges,
         detector: FailureDetector,
         watch: FailureWatch,
-        sightings: Sightings,
+        server_observations: ServerObservations,
         membership: Membership,
         departures: Departures,
         queue: CommandQueue,
@@ -82,7 +82,7 @@
         self._ages = ages
         self._detector = detector
         self._watch = watch
-        self._sightings = sightings
+        self._server_observations = server_observations
         self._membership = membership
         self._departures = departures
         self._queue = queue
@@ -100,7 +100,7 @@
         """Count every proxy and server as just heard, and drop old commands."""
         interval = self._state.settings.root.renew_interval_ms / MILLISECONDS
         self._detector.start_over(interval)
-        self._sightings.start_over()
+        self._server_observations.start_over()
         self._queue.clear()
 
     def look(self) -> None:
--- a/packages/control/src/dogwoodspool_control/membership/membership.py
+++ b/packages/control/src/dogwoodspool_control/membership/membership.py
@@ -13,30 +13,32 @@
     SERVER_SILENCE_SECONDS,
     SILENCE_MARK_SECONDS,
 )
-from ..promotion.sightings import Sighting, Sightings
+from ..promotion.server_observations import ServerObservation, ServerObservations
 from ..state import ControlState
 
 
 class Membership:
     """Turn sightings of backend servers into commands."""
 
-    def __init__(self, clock: Clock, state: ControlState, sightings: Sightings) -> None:
+    def __init__(
+        self, clock: Clock, state: ControlState, server_observations: ServerObservations
+    ) -> None:
         self._clock = clock
         self._state = state
-        self._sightings = sightings
+        self._server_observations = server_observations
         self._silence_marks: dict[str, tuple[float, Position]] = {}
 
     def due_commands(self) -> list[Command]:
         """Return what differs from the committed state for long enough."""
         commands: list[Command] = []
-        for sighting in self._sightings.all.values():
-            if sighting.announced is not None:
-                commands += self._due_records(sighting, sighting.announced)
+        for observation in self._server_observations.all.values():
+            if observation.announced is not None:
+                commands += self._due_records(observation, observation.announced)
         commands += self._due_removals()
         return commands
 
     def _due_records(
-        self, sighting: Sighting, announced: BackendServer
+        self, observation: ServerObservation, announced: BackendServer
     ) -> Iterator[Command]:
         known = self._state.servers.get(announced.name)
         if known is None:
@@ -46,8 +48,8 @@
         elif announced != known and self._has_ended(known):
             yield RecordServer(announced)
         is_first = self._state.group(announced.group) is None
-        if sighting.role is Role.PRIMARY and is_first:
-            term = sighting.position.term
+        if observation.role is Role.PRIMARY and is_first:
+            term = observation.position.term
             yield BootstrapGroup(announced.group, term, announced.name)
 
     def _has_ended(self, known: BackendServer) -> bool:
@@ -56,16 +58,16 @@
         Proxies repeat what they heard some seconds ago. Without this wait an old
         and a new announcement in turn would change the record back and forth.
         """
-        announced_at = self._sightings.announced_at(known)
+        announced_at = self._server_observations.announced_at(known)
         return self._clock.now() - announced_at >= SERVER_HOLD_SECONDS
 
     def _due_removals(self) -> Iterator[Command]:
         now = self._clock.now()
-        sightings = self._sightings.all
+        server_observations = self._server_observations.all
         for server in self._state.servers.values():
-            sighting = sightings.get(server.name)
-            started_at = self._sightings.started_at
-            heard_at = started_at if sighting is None else sighting.heard_at
+            observation = server_observations.get(server.name)
+            started_at = self._server_observations.started_at
+            heard_at = started_at if observation is None else observation.heard_at
             if now - heard_at < SILENCE_MARK_SECONDS:
                 self._silence_marks.pop(server.name, None)
                 continue
@@ -82,7 +84,7 @@
         group = self._state.group(server.group)
         if group is None or group.primary is None:
             return
-        primary = self._sightings.all.get(group.primary)
+        primary = self._server_observations.all.get(group.primary)
         if primary is None or primary.observed_at is None:
             return
         if primary.observed_at - heard_at >= SILENCE_MARK_SECONDS:
@@ -120,13 +122,13 @@
         if server.failure_domain not in domains:
             return False
         interval = self._state.settings.root.renew_interval_ms / 1000
-        renewed_at = self._sightings.renewed_at(server.failure_domain)
+        renewed_at = self._server_observations.renewed_at(server.failure_domain)
         return self._clock.now() - renewed_at > FRESH_RENEW_INTERVALS * interval
 
     def _covers(
         self, server: BackendServer, mark: Position, starts: tuple[Position, ...]
     ) -> bool:
-        sighting = self._sightings.all.get(server.name)
-        if sighting is None:
+        observation = self._server_observations.all.get(server.name)
+        if observation is None:
             return False
-        return is_covered(mark, sighting.position, starts)
+        return is_covered(mark, observation.position, starts)
--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/upkeep.py
@@ -11,7 +11,7 @@
 from ..const import AUDIT_SECONDS, FRESH_RENEW_INTERVALS
 from ..grants.grants import GrantTable
 from ..promotion.dependencies import RoleChangers
-from ..promotion.sightings import Sightings
+from ..promotion.server_observations import ServerObservations
 from ..state import ControlState
 
 
@@ -56,14 +56,14 @@
         state: ControlState,
         *,
         table: GrantTable,
-        sightings: Sightings,
+        server_observations: ServerObservations,
         role_changers: RoleChangers,
         submit: Callable[[Callable[[], None]], object],
     ) -> None:
         self._clock = clock
         self._state = state
         self._table = table
-        self._sightings = sightings
+        self._server_observations = server_observations
         self._role_changers = role_changers
         self._submit = submit
         self._asked_at: dict[str, float] = {}
@@ -110,12 +110,14 @@
         if group is None or not self._is_in_force(name, settings_index):
             return False
         acks = self._table.knowledge(name)
-        sightings = self._sightings.all
+        server_observations = self._server_observations.all
         return self._table.is_history_known(name) and any(
             server.name != group.primary
-            and server.name in sightings
+            and server.name in server_observations
             and all(
-                is_covered(acked, sightings[server.name].position, group.term_starts)
+                is_covered(
+                    acked, server_observations[server.name].position, group.term_starts
+                )
                 for acked in acks.positions
             )
             for server in self._state.servers_of(name)
--- a/packages/control/src/dogwoodspool_control/promotion/reconciler.py
+++ b/packages/control/src/dogwoodspool_control/promotion/reconciler.py
@@ -9,7 +9,7 @@
 from ..state import ControlState
 from .dependencies import RoleChangers
 from .promote_step import follow
-from .sightings import Sighting, Sightings
+from .server_observations import ServerObservation, ServerObservations
 
 
 class Reconciler:
@@ -25,13 +25,13 @@
         self,
         clock: Clock,
         state: ControlState,
-        sightings: Sightings,
+        server_observations: ServerObservations,
         role_changers: RoleChangers,
         executor: ThreadPoolExecutor,
     ) -> None:
         self._clock = clock
         self._state = state
-        self._sightings = sightings
+        self._server_observations = server_observations
         self._role_changers = role_changers
         self._executor = executor
         self._told_at: dict[str, float] = {}
@@ -39,25 +39,25 @@
     def run(self) -> None:
         """Look at all servers once; commands run in the executor."""
         servers = self._state.servers
-        sightings = self._sightings.all
+        server_observations = self._server_observations.all
         for group in self._state.groups.values():
             primary = servers.get(group.primary or "")
             if group.phase is not Phase.STEADY or primary is None:
                 continue
             for server in servers.values():
-                sighting = sightings.get(server.name)
-                if server.group != group.name or sighting is None:
+                observation = server_observations.get(server.name)
+                if server.group != group.name or observation is None:
                     continue
-                if self._should_follow(server, group, sighting):
+                if self._should_follow(server, group, observation):
                     self._tell(server, primary, group.term)
 
     def _should_follow(
-        self, server: BackendServer, group: GroupState, sighting: Sighting
+        self, server: BackendServer, group: GroupState, observation: ServerObservation
     ) -> bool:
         if server.name == group.primary:
             return False
-        is_behind = sighting.position.term < group.term
-        if not is_behind and sighting.role is not Role.PRIMARY:
+        is_behind = observation.position.term < group.term
+        if not is_behind and observation.role is not Role.PRIMARY:
             return False
         told_at = self._told_at.get(server.name, NEVER)
         return self._clock.now() - told_at >= FOLLOW_RETRY_SECONDS
--- a/packages/control/src/dogwoodspool_control/promotion/sightings.py
+++ b/packages/control/src/dogwoodspool_control/promotion/server_observations.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
+class ServerObservation:
     """The latest news of one backend server, by the leader's time of receipt.
 
     Attributes:
@@ -28,13 +28,13 @@
     observed_at: float | None = None
 
 
-class Sightings:
+class ServerObservations:
     """Collect announcements and observations from renewals."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._sightings: dict[str, Sighting] = {}
+        self._server_observations: dict[str, ServerObservation] = {}
         self._announced_at: dict[tuple[str, BackendServer], float] = {}
         self._renewed_at: dict[str, float] = {}
         self._started_at = clock.now()
@@ -46,15 +46,15 @@
             return self._started_at
 
     @property
-    def all(self) -> dict[str, Sighting]:
+    def all(self) -> dict[str, ServerObservation]:
         """The latest sightings by server."""
         with self._lock:
-            return dict(self._sightings)
+            return dict(self._server_observations)
 
     def start_over(self) -> None:
         """Forget everything, as at the beginning of a leadership."""
         with self._lock:
-            self._sightings.clear()
+            self._server_observations.clear()
             self._announced_at.clear()
             self._renewed_at.clear()
             self._started_at = self._clock.now()
@@ -80,26 +80,28 @@
             return self._renewed_at.get(failure_domain, NEVER)
 
     def _note_announcement(self, announcement: Announcement, now: float) -> None:
-        known = self._sightings.get(announcement.server)
-        if known is None and len(self._sightings) >= MAX_SERVERS:
+        known = self._server_observations.get(announcement.server)
+        if known is None and len(self._server_observations) >= MAX_SERVERS:
             return
         server = announcement.backend_server()
         self._announced_at[server.name, server] = now
         if known is not None and known.observed_at is not None:
-            sighting = replace(known, heard_at=now, announced=server)
+            server_observation = replace(known, heard_at=now, announced=server)
         else:
             position = announcement.position.value()
-            sighting = Sighting(now, announcement.role, position, server)
-        self._sightings[server.name] = sighting
+            server_observation = ServerObservation(
+                now, announcement.role, position, server
+            )
+        self._server_observations[server.name] = server_observation
 
     def _note_observation(self, observation: Observation, now: float) -> None:
         status = observation.status
         if status is None or observation.unreachable_ms > 0:
             return
-        known = self._sightings.get(observation.server)
-        if known is None and len(self._sightings) >= MAX_SERVERS:
+        known = self._server_observations.get(observation.server)
+        if known is None and len(self._server_observations) >= MAX_SERVERS:
             return
-        self._sightings[observation.server] = Sighting(
+        self._server_observations[observation.server] = ServerObservation(
             heard_at=now,
             role=status.role,
             position=status.position.value(),
--- a/packages/control/src/dogwoodspool_control/runtime.py
+++ b/packages/control/src/dogwoodspool_control/runtime.py
@@ -27,7 +27,7 @@
 from .promotion.planned import PlannedPromotions
 from .promotion.promoter import Promotions
 from .promotion.reconciler import Reconciler
-from .promotion.sightings import Sightings
+from .promotion.server_observations import ServerObservations
 from .readiness import Readiness
 from .state import ControlState
 from .status import StatusReport
@@ -58,7 +58,7 @@
         watch = FailureWatch(state, detector)
         ages = IncarnationAges(clock)
         timeline = FailoverTimeline(clock)
-        sightings = Sightings(clock)
+        server_observations = ServerObservations(clock)
         self._queue = CommandQueue(clock, node)
         self._promotions = Promotions(
             PromotionDependencies(
@@ -81,20 +81,20 @@
             ages=ages,
             detector=detector,
             watch=watch,
-            sightings=sightings,
-            membership=Membership(clock, state, sightings),
+            server_observations=server_observations,
+            membership=Membership(clock, state, server_observations),
             departures=Departures(clock, state),
             queue=self._queue,
             promotions=self._promotions,
             reconciler=Reconciler(
-                clock, state, sightings, role_changers, self._executor
+                clock, state, server_observations, role_changers, self._executor
             ),
             lease_bound=LeaseBoundUpkeep(clock, state, table),
             ack_audit=AckAudit(
                 clock,
                 state,
                 table=table,
-                sightings=sightings,
+                server_observations=server_observations,
                 role_changers=role_changers,
                 submit=self._executor.submit,
             ),
@@ -107,7 +107,7 @@
             table=table,
             ledger=ShareLedger(clock),
             detector=detector,
-            sightings=sightings,
+            server_observations=server_observations,
             queue=self._queue,
             rate=RenewalRate(clock, MAX_RATED_PROXIES),
             on_trouble=self._loop.wake,
--- a/tests/control/http/test_http.py
+++ b/tests/control/http/test_http.py
@@ -22,7 +22,7 @@
 from dogwoodspool_control.http.watch import WatchApi
 from dogwoodspool_control.promotion.detector import FailureDetector
 from dogwoodspool_control.promotion.planned import PlannedPromotions
-from dogwoodspool_control.promotion.sightings import Sightings
+from dogwoodspool_control.promotion.server_observations import ServerObservations
 
 from ..fakes import (
     GROUP,
@@ -53,7 +53,7 @@
             table=self.voter.table,
             ledger=ShareLedger(self.clock),
             detector=FailureDetector(self.clock),
-            sightings=Sightings(self.clock),
+            server_observations=ServerObservations(self.clock),
             queue=self.queue,
             rate=RenewalRate(self.clock, 16),
             on_trouble=lambda: None,
--- a/tests/control/membership/test_membership.py
+++ b/tests/control/membership/test_membership.py
@@ -13,7 +13,7 @@
 )
 from dogwoodspool_control.commands import BootstrapGroup, RecordServer, RemoveServer
 from dogwoodspool_control.membership.membership import Membership
-from dogwoodspool_control.promotion.sightings import Sightings
+from dogwoodspool_control.promotion.server_observations import ServerObservations
 
 from ..fakes import GROUP, FakeLog, Voter, observation, populate, renewal, server
 
@@ -40,16 +40,18 @@
         self.clock = ManualClock()
         self.voter = Voter(self.clock, FakeLog())
         self.voter.lead(term=1)
-        self.sightings = Sightings(self.clock)
-        self.membership = Membership(self.clock, self.voter.state, self.sightings)
+        self.server_observations = ServerObservations(self.clock)
+        self.membership = Membership(
+            self.clock, self.voter.state, self.server_observations
+        )
 
     def announce(self, proxy: str, *announced: BackendServer) -> None:
         messages = [announcement(one) for one in announced]
-        self.sightings.observe(renewal(proxy, announcements=messages))
+        self.server_observations.observe(renewal(proxy, announcements=messages))
 
     def test_an_unknown_groups_primary_is_taken_over(self) -> None:
         message = announcement(server("s1"), Role.PRIMARY)
-        self.sightings.observe(renewal("p1", announcements=[message]))
+        self.server_observations.observe(renewal("p1", announcements=[message]))
         self.assertEqual(
             self.membership.due_commands(),
             [RecordServer(server("s1")), BootstrapGroup(GROUP, 4, "s1")],
@@ -89,8 +91,10 @@
         self.voter = Voter(self.clock, FakeLog())
         self.voter.lead(term=1)
         populate(self.voter, {"p1": "fd1", "p2": "fd2", "p3": "fd3"})
-        self.sightings = Sightings(self.clock)
-        self.membership = Membership(self.clock, self.voter.state, self.sightings)
+        self.server_observations = ServerObservations(self.clock)
+        self.membership = Membership(
+            self.clock, self.voter.state, self.server_observations
+        )
 
     def run_for(
         self, seconds: int, proxies: str, offsets: dict[str, int]
@@ -113,7 +117,9 @@
                     for name, offset in offsets.items()
                 ]
                 domain = f"fd{proxy[1:]}"
-                self.sightings.observe(renewal(proxy, domain, observations=seen))
+                self.server_observations.observe(
+                    renewal(proxy, domain, observations=seen)
+                )
             due = list(self.membership.due_commands())
         return due
 
--- a/tests/control/promotion/test_reconciler.py
+++ b/tests/control/promotion/test_reconciler.py
@@ -11,7 +11,7 @@
 )
 from dogwoodspool_control.models import PromotionReason
 from dogwoodspool_control.promotion.reconciler import Reconciler
-from dogwoodspool_control.promotion.sightings import Sightings
+from dogwoodspool_control.promotion.server_observations import ServerObservations
 
 from ..fakes import (
     GROUP,
@@ -38,19 +38,23 @@
         self.servers = FakeServers(
             {name: FakeServer(Position(1, 5)) for name in ("s1", "s2", "s3")}
         )
-        self.sightings = Sightings(self.clock)
+        self.server_observations = ServerObservations(self.clock)
 
     def run_once(self) -> list[tuple[str, str, int]]:
         with ThreadPoolExecutor(2) as executor:
             Reconciler(
-                self.clock, self.voter.state, self.sightings, self.servers, executor
+                self.clock,
+                self.voter.state,
+                self.server_observations,
+                self.servers,
+                executor,
             ).run()
         return sorted(self.servers.calls)
 
     def see(self, name: str, role: Role, position: Position) -> None:
         status = ServerStatus(name, role, position, 0.0, False)
         seen = [observation(name, status=status)]
-        self.sightings.observe(renewal("p1", observations=seen))
+        self.server_observations.observe(renewal("p1", observations=seen))
 
     def test_a_returned_primary_and_a_stray_replica_are_told_to_follow(self) -> None:
         """The old primary was cut off and comes back believing in its role.
