--- a/packages/control/src/dogwoodspool_control/leader.py
+++ b/packages/control/src/dogwoodspool_control/leader.py
@@ -99,8 +99,8 @@
     def begin_leadership(self) -> None:
         """Count every proxy and server as just heard, and drop old commands."""
         interval = self._state.settings.root.renew_interval_ms / MILLISECONDS
-        self._detector.start_over(interval)
-        self._server_observations.start_over()
+        self._detector.reset(interval)
+        self._server_observations.reset()
         self._queue.clear()
 
     def look(self) -> None:
--- a/packages/control/src/dogwoodspool_control/promotion/detector.py
+++ b/packages/control/src/dogwoodspool_control/promotion/detector.py
@@ -70,7 +70,7 @@
         with self._lock:
             return dict(self._renewals)
 
-    def start_over(self, renew_interval: float) -> None:
+    def reset(self, renew_interval: float) -> None:
         """Forget everything, as at the beginning of a leadership."""
         with self._lock:
             self._last_tick = self._clock.now()
--- a/packages/control/src/dogwoodspool_control/promotion/server_observations.py
+++ b/packages/control/src/dogwoodspool_control/promotion/server_observations.py
@@ -51,7 +51,7 @@
         with self._lock:
             return dict(self._server_observations)
 
-    def start_over(self) -> None:
+    def reset(self) -> None:
         """Forget everything, as at the beginning of a leadership."""
         with self._lock:
             self._server_observations.clear()
--- a/tests/control/promotion/test_detector.py
+++ b/tests/control/promotion/test_detector.py
@@ -22,7 +22,7 @@
     def setUp(self) -> None:
         self.clock = ManualClock()
         self.detector = FailureDetector(self.clock)
-        self.detector.start_over(TIMES.renew_interval)
+        self.detector.reset(TIMES.renew_interval)
         self.run_smoothly(0.7)
 
     def run_smoothly(self, seconds: float) -> None:
