--- a/packages/control/src/dogwoodspool_control/grants/grants.py
+++ b/packages/control/src/dogwoodspool_control/grants/grants.py
@@ -163,7 +163,9 @@
                 for name, record in proxies.items()
             )
 
-    def note_primary(self, group: str, position: Position, asked_at: float) -> None:
+    def record_primary_position(
+        self, group: str, position: Position, asked_at: float
+    ) -> None:
         """Take the primary's position as a bound of what was acknowledged.
 
         Args:
--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/upkeep.py
@@ -102,7 +102,7 @@
         except BackendError:
             return
         if status.role is Role.PRIMARY and status.position.term == group.term:
-            self._table.note_primary(group.name, status.position, asked_at)
+            self._table.record_primary_position(group.name, status.position, asked_at)
 
     def _is_replicated(self, name: str, settings_index: int) -> bool:
         """Tell whether one replica holds all that was acknowledged without one."""
--- a/tests/control/grants/test_grants.py
+++ b/tests/control/grants/test_grants.py
@@ -119,7 +119,7 @@
         self.clock.advance(2.0)
         self.table.renew(renewal("p1", acked=Position(1, 5)), 2.0)
         self.assertFalse(self.table.knowledge(GROUP).is_complete)
-        self.table.note_primary(GROUP, Position(1, 9), asked_at=2.0)
+        self.table.record_primary_position(GROUP, Position(1, 9), asked_at=2.0)
         self.assertFalse(self.table.knowledge(GROUP).is_complete)
         self.table.release(Release("p1", "p1-a", GROUP, 1, Position(1, 12)))
         knowledge = self.table.knowledge(GROUP)
@@ -131,7 +131,7 @@
     ) -> None:
         self.table.renew(renewal("p1"), 0.0)
         self.table.release(Release("p1", "p1-a", GROUP, 1, None))
-        self.table.note_primary(GROUP, Position(1, 9), asked_at=1.0)
+        self.table.record_primary_position(GROUP, Position(1, 9), asked_at=1.0)
         self.assertFalse(self.table.knowledge(GROUP).is_complete)
 
     def test_writes_acked_by_the_primary_alone_stay_in_doubt(self) -> None:
