--- a/packages/control/src/dogwoodspool_control/grants/grants.py
+++ b/packages/control/src/dogwoodspool_control/grants/grants.py
@@ -154,7 +154,7 @@
         with self._lock:
             return self._acks_of(group).is_history_known
 
-    def all_follow(self, version: int) -> bool:
+    def all_proxies_reached(self, version: int) -> bool:
         """Tell whether each registered proxy reported this version or a newer one."""
         proxies = self._state.proxies
         with self._lock:
--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/upkeep.py
@@ -129,7 +129,7 @@
         Every proxy must follow the stricter setting, and for so long that a
         write which began before has ended and was reported.
         """
-        if not self._table.all_follow(settings_index):
+        if not self._table.all_proxies_reached(settings_index):
             self._followed_since.pop(name, None)
             return False
         now = self._clock.now()
