--- a/packages/control/src/dogwoodspool_control/grants/renewals.py
+++ b/packages/control/src/dogwoodspool_control/grants/renewals.py
@@ -58,7 +58,7 @@
         server_observations: ServerObservations,
         queue: CommandQueue,
         rate: RenewalRate,
-        on_trouble: Callable[[], None],
+        on_unreachable: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._node = node
@@ -69,7 +69,7 @@
         self._server_observations = server_observations
         self._queue = queue
         self._rate = rate
-        self._on_trouble = on_trouble
+        self._on_unreachable = on_unreachable
         self._lock = threading.Lock()
         self._renewed_at: dict[str, tuple[float, int]] = {}
 
@@ -96,7 +96,7 @@
             self._detector.observe(request)
             self._note_renewal(request, received_at)
             if any(item.unreachable_ms > 0 for item in request.observations):
-                self._on_trouble()
+                self._on_unreachable()
         self._server_observations.observe(request)
         shares = self._share(request, lease) if lease.is_registered else {}
         if self._node.require_leadership().term != leadership.term:
--- a/packages/control/src/dogwoodspool_control/runtime.py
+++ b/packages/control/src/dogwoodspool_control/runtime.py
@@ -110,7 +110,7 @@
             server_observations=server_observations,
             queue=self._queue,
             rate=RenewalRate(clock, MAX_RATED_PROXIES),
-            on_trouble=self._loop.wake,
+            on_unreachable=self._loop.wake,
         )
         planned = PlannedPromotions(clock, node, state, role_changers, timeline)
         status = StatusReport(
--- a/tests/control/http/test_http.py
+++ b/tests/control/http/test_http.py
@@ -56,7 +56,7 @@
             server_observations=ServerObservations(self.clock),
             queue=self.queue,
             rate=RenewalRate(self.clock, 16),
-            on_trouble=lambda: None,
+            on_unreachable=lambda: None,
         )
         planned = PlannedPromotions(
             self.clock, node, state, servers, self.voter.timeline
