--- a/packages/control/src/dogwoodspool_control/promotion/promoter.py
+++ b/packages/control/src/dogwoodspool_control/promotion/promoter.py
@@ -20,7 +20,7 @@
         )
         self._dependencies = dependencies
 
-    def carry_on(self, promotion: Promotion) -> None:
+    def advance(self, promotion: Promotion) -> None:
         """Do what follows the committed step; see ``PromotionWorker``."""
         if promotion.chosen is None:
             ChooseStep(promotion, self._dependencies, self._progress).run()
--- a/packages/control/src/dogwoodspool_control/promotion/worker.py
+++ b/packages/control/src/dogwoodspool_control/promotion/worker.py
@@ -53,7 +53,7 @@
             log_event("promotion_left", group=self._group)
 
     @abstractmethod
-    def carry_on(self, promotion: Promotion) -> None:
+    def advance(self, promotion: Promotion) -> None:
         """Do what follows the committed step.
 
         Raises:
@@ -68,7 +68,7 @@
             return False
         take_over(self._timeline, promotion)
         try:
-            self.carry_on(promotion)
+            self.advance(promotion)
         except OutcomeUnknownError:
             self._clock.sleep(OUTCOME_RETRY_SECONDS)
         except CommandRejectedError as error:
--- a/packages/failover/src/dogwoodspool_failover/change.py
+++ b/packages/failover/src/dogwoodspool_failover/change.py
@@ -48,7 +48,7 @@
         self._dependencies = dependencies
         self._fencing = GroupFencing(dependencies)
 
-    def carry_on(self, promotion: Promotion) -> None:
+    def advance(self, promotion: Promotion) -> None:
         """Carry out the step after the committed one; see ``PromotionWorker``."""
         if promotion.chosen is None:
             self._choose(promotion)
