--- a/packages/control/src/dogwoodspool_control/promotion/__init__.py
+++ b/packages/control/src/dogwoodspool_control/promotion/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of a group's primary, from a failure or a wish to the new one."""
+"""Unplanned and planned changes of a group's primary."""
--- a/packages/control/src/dogwoodspool_control/promotion/candidates.py
+++ b/packages/control/src/dogwoodspool_control/promotion/candidates.py
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceInput:
-    """What the choice is decided on.
+    """Input of the choice of a new primary.
 
     Attributes:
         servers: all servers of the group, the old primary included.
-        statuses: answers of those that answered, asked after the release.
-        acks: what is known of acknowledged writes.
-        term_starts: the group's history.
-        may_keep_primary: whether the old primary is of use as primary again.
+        statuses: answers of the servers that answered, requested after the release.
+        acks: what is known about acknowledged writes.
+        term_starts: the branch positions of the group's terms.
+        may_keep_primary: whether the old primary may be chosen again.
         must_catch_up: whether to wait for a replica that has all entries of the
-            old primary, those without an acknowledgement included.
+            old primary, including unacknowledged ones.
     """
 
     promotion: Promotion
@@ -42,14 +42,17 @@
 
 
 def choose_candidate(given: ChoiceInput) -> Result[Choice, ChoiceRefusal]:
-    """Choose a server that surely has every acknowledged write.
-
-    A replica qualifies in three ways. It covers the old primary's position, read
-    after all grants had ended. Or every acknowledged position is known, and it
-    covers them all. Or each acknowledged write is on some replica, all replicas
-    have answered, and it is the furthest of them. A replica that may lack an
-    acknowledged write is never chosen: the promotion waits for the old primary,
-    which has everything.
+    """Choose a server that is certain to have every acknowledged write.
+
+    A replica qualifies in one of three ways:
+
+    - It covers the old primary's position, read after all grants had ended.
+    - Every acknowledged position is known, and it covers them all.
+    - Each acknowledged write is on some replica, all replicas have answered, and it
+      is the most advanced of them.
+
+    A replica that may lack an acknowledged write is never chosen: the promotion waits
+    for the old primary, which has all writes.
     """
     replicas = [
         server for server in given.servers if server.name != given.promotion.old_primary
@@ -62,28 +65,28 @@
     if caught_up:
         return Ok(_choice(given, max(caught_up, key=lambda one: _rank(given, one))))
     if given.promotion.reason is PromotionReason.PLANNED:
-        # Undone: its candidate did not catch up, and nothing is wrong with the
-        # primary, which also has the writes without an acknowledgement.
-        undone = _choose_old_primary(given, silent)
-        if undone.is_ok():
-            return undone
+        # Revert the change: the candidate did not catch up, and the old primary is
+        # healthy and also has the unacknowledged writes.
+        reverted = _choose_old_primary(given, silent)
+        if reverted.is_ok():
+            return reverted
     if given.acks.is_complete and covering:
         return Ok(_choice(given, max(covering, key=lambda one: _rank(given, one))))
     if given.acks.is_replicated and replicas and not silent:
-        furthest = max(replicas, key=lambda one: _reach(given, one))
-        if furthest in covering:
-            return Ok(_choice(given, furthest))
+        most_advanced = max(replicas, key=lambda one: _history_extent(given, one))
+        if most_advanced in covering:
+            return Ok(_choice(given, most_advanced))
     return _choose_old_primary(given, silent)
 
 
 def _choose_caught_up(
     given: ChoiceInput, caught_up: Sequence[BackendServer]
 ) -> Result[Choice, ChoiceRefusal]:
-    wanted = given.promotion.candidate
+    requested = given.promotion.candidate
     for server in sorted(caught_up, key=lambda one: _rank(given, one), reverse=True):
-        if wanted in (None, server.name):
+        if requested in (None, server.name):
             return Ok(_choice(given, server))
-    waiting_for = () if wanted is None else (wanted,)
+    waiting_for = () if requested is None else (requested,)
     return Error(ChoiceRefusal("no replica has caught up yet", waiting_for))
 
 
@@ -96,13 +99,13 @@
     if given.acks.is_replicated:
         reason = "replicas do not answer or lack an acknowledged write"
         return Error(ChoiceRefusal(reason, (*silent, old_primary)))
-    reason = "acknowledged writes may be at the old primary alone"
+    reason = "acknowledged writes may be on the old primary only"
     return Error(ChoiceRefusal(reason, (old_primary,)))
 
 
 def _covers_known(given: ChoiceInput, name: str) -> bool:
     status = given.statuses.get(name)
-    if status is None or not _is_of_history(given, status.position):
+    if status is None or not _is_in_history(given, status.position):
         return False
     return all(
         is_covered(acked, status.position, given.term_starts)
@@ -118,8 +121,8 @@
     return is_covered(primary.position, position, given.term_starts)
 
 
-def _is_of_history(given: ChoiceInput, position: Position) -> bool:
-    """Tell whether a server holds no entries that an earlier promotion dropped."""
+def _is_in_history(given: ChoiceInput, position: Position) -> bool:
+    """Tell whether a server holds no entries discarded by an earlier promotion."""
     return not is_lost(position, given.promotion.old_term, given.term_starts)
 
 
@@ -127,11 +130,11 @@
     return Choice(server.name, given.statuses[server.name].position.offset)
 
 
-def _reach(given: ChoiceInput, server: BackendServer) -> tuple[int, int]:
-    """Order servers by how much of the group's history they hold.
+def _history_extent(given: ChoiceInput, server: BackendServer) -> tuple[int, int]:
+    """Return a sort key: how much of the group's history a server holds.
 
-    Of a server that follows an older term only the entries up to the next branch
-    are part of it.
+    For a server of an older term, only the entries up to the next branch are part
+    of the history.
     """
     position = given.statuses[server.name].position
     branches = [
@@ -143,8 +146,8 @@
 
 
 def _rank(given: ChoiceInput, server: BackendServer) -> tuple[bool, bool, int, int]:
-    """Order servers that all qualify by which one serves best."""
+    """Return a sort key that prefers the most suitable of the qualified servers."""
     status = given.statuses[server.name]
-    is_asked_for = server.name == given.promotion.candidate
+    is_requested = server.name == given.promotion.candidate
     is_staying = not (server.is_leaving or status.is_leaving)
-    return is_asked_for, is_staying, *_reach(given, server)
+    return is_requested, is_staying, *_history_extent(given, server)
--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -1,4 +1,4 @@
-"""First half of a promotion: end the old term's grants and choose a primary."""
+"""First half of a promotion: end the grants of the old term and choose a primary."""
 
 from collections.abc import Mapping, Sequence
 
@@ -23,10 +23,10 @@
 
 
 class ChooseStep:
-    """Carry one promotion from its beginning to its committed choice.
+    """Take one promotion from its start to its committed choice.
 
-    Every step may be repeated by another leader: releasing twice is harmless,
-    and only one choice is committed for a term.
+    Another leader may repeat every step: releasing twice is harmless, and only one
+    choice is committed per term.
     """
 
     def __init__(
@@ -50,11 +50,11 @@
         )
 
     def run(self) -> None:
-        """Release, choose and commit.
+        """Release the grants, choose a primary and commit the choice.
 
         Raises:
-            LeadershipLostError: the next leader goes on.
-            OutcomeUnknownError: look at the state again.
+            LeadershipLostError: the next leader continues.
+            OutcomeUnknownError: read the committed state again.
             CommandRejectedError: another choice was committed.
         """
         group = self._promotion.group
@@ -83,7 +83,9 @@
             progress = self._release.progress(proxies)
             if progress.is_done:
                 return
-            self._progress.note("release", progress.waiting_for, "grants may be valid")
+            self._progress.note(
+                "release", progress.waiting_for, "grants may still be valid"
+            )
             self._release.wait_for_answer(min(progress.seconds, RELEASE_RETRY_SECONDS))
 
     def _await_choice(self) -> Choice:
@@ -97,7 +99,7 @@
             waited = self._dependencies.clock.now() - began_at
             must_catch_up = must_catch_up and waited < CATCH_UP_SECONDS
             servers = self._dependencies.state.servers_of(self._promotion.group)
-            poll.ask(servers)
+            poll.request(servers)
             if poll.is_waiting:
                 poll.wait_for_answer(STATUS_POLL_SECONDS)
             if self._should_wait(servers, poll, waited):
@@ -107,12 +109,12 @@
                 case Result(tag="ok", ok=choice):
                     return choice
                 case Result(error=refusal):
-                    self._note_refusal(refusal)
+                    self._report_refusal(refusal)
 
     def _should_wait(
         self, servers: Sequence[BackendServer], poll: ServerPoll, waited: float
     ) -> bool:
-        """Give replicas a moment to answer, so that the best one can be chosen."""
+        """Give replicas time to answer, so that the best one can be chosen."""
         if not poll.is_waiting or waited >= CHOICE_GRACE_SECONDS:
             return False
         old_primary = self._promotion.old_primary
@@ -144,16 +146,16 @@
         )
 
     def _may_keep_primary(self) -> bool:
-        # To the proxies it may still be unreachable; promoting it again would
-        # only begin the next failover.
+        # The proxies may still be unable to reach it; promoting it again would only
+        # cause the next failover.
         promotion = self._promotion
         return not self._dependencies.is_failed(promotion.group, promotion.old_primary)
 
     def _fence_old_primary(self) -> bool:
-        """End writes at the old primary of a planned promotion.
+        """Stop writes at the old primary of a planned promotion.
 
         Returns:
-            Whether its data is final, so that a replica can reach all of it.
+            Whether its data is final, so that a replica can catch up completely.
         """
         promotion = self._promotion
         if promotion.reason is not PromotionReason.PLANNED:
@@ -170,8 +172,8 @@
             return False
         return True
 
-    def _note_refusal(self, refusal: ChoiceRefusal) -> None:
+    def _report_refusal(self, refusal: ChoiceRefusal) -> None:
         self._progress.note("choice", refusal.waiting_for, refusal.reason)
-        # A proxy that could not be reached before may tell what it acknowledged.
+        # A proxy that was unreachable before may now report what it acknowledged.
         self._release.ask(self._dependencies.state.proxies)
         self._dependencies.clock.sleep(STATUS_POLL_SECONDS)
--- a/packages/control/src/dogwoodspool_control/promotion/dependencies.py
+++ b/packages/control/src/dogwoodspool_control/promotion/dependencies.py
@@ -1,4 +1,4 @@
-"""What the steps of a promotion share."""
+"""Dependencies shared by the steps of a promotion."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -17,19 +17,19 @@
 
 
 class RoleChangers(Protocol):
-    """Give the role changer of each group."""
+    """Provide the role changer of each group."""
 
     def of_group(self, group: str) -> RoleChanger:
-        """Return a role changer with the group's settings in force."""
+        """Return a role changer with the group's current settings."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class PromotionDependencies:
-    """The objects that promotions of all groups work with.
+    """Dependencies of the promotions of all groups.
 
     Attributes:
-        is_failed: whether the proxies call a server failed at this moment.
+        is_failed: whether the proxies currently report a server as failed.
         executor: runs calls to proxies and backend servers.
     """
 
--- a/packages/control/src/dogwoodspool_control/promotion/detector.py
+++ b/packages/control/src/dogwoodspool_control/promotion/detector.py
@@ -1,4 +1,4 @@
-"""Tell which primaries have failed from what all proxies observe."""
+"""Detect failed primaries from the observations of all proxies."""
 
 import threading
 from collections import defaultdict
@@ -18,8 +18,9 @@
     """Times of the failure detector, in seconds.
 
     Attributes:
-        failure_detect: unreachable time after which an observer counts.
-        down_detect: time of refused connections after which an observer counts.
+        failure_detect: unreachable time after which an observer reports a failure.
+        down_detect: time of refused connections after which an observer reports a
+            failure.
         renew_interval: time between a proxy's renewals.
     """
 
@@ -33,7 +34,7 @@
     """The newest observations of one proxy.
 
     Attributes:
-        received_at: the leader's time; observations carry no other.
+        received_at: time by the leader's clock; observations carry no timestamp.
     """
 
     failure_domain: str
@@ -42,16 +43,16 @@
 
 
 class FailureDetector:
-    """Decide whether a backend server counts as failed.
+    """Decide whether a backend server has failed.
 
     A server has failed when, in strictly more than half of the failure domains
-    with registered proxies, most proxies that renewed lately could not reach it
+    with registered proxies, most proxies with a recent renewal could not reach it
     for the detection time. At least two proxies must agree: a single observer
-    that is cut off or broken demotes nobody.
+    that is cut off or faulty cannot cause a failover.
 
-    A voter that stood still finds renewals in its sockets that were sent long
-    ago and would take them for news. It shows as a gap between two ticks. The
-    detector then forgets all observations and takes none until such renewals
+    A voter whose process was suspended finds old renewals in its sockets and would
+    take them for current ones. The suspension shows as a gap between two ticks. The
+    detector then discards all observations and accepts none until such renewals
     have been replaced by newer ones.
     """
 
@@ -61,7 +62,7 @@
         self._renewals: dict[str, ObservedRenewal] = {}
         self._demoted_since: dict[tuple[str, str, int], float] = {}
         self._last_tick: float | None = None
-        self._settled_at = float("inf")
+        self._accept_from = float("inf")
         self._renew_interval = 0.0
 
     @property
@@ -71,31 +72,31 @@
             return dict(self._renewals)
 
     def reset(self, renew_interval: float) -> None:
-        """Forget everything, as at the beginning of a leadership."""
+        """Discard all observations at the start of a leadership."""
         with self._lock:
             self._last_tick = self._clock.now()
             self._renew_interval = renew_interval
-            self._forget()
+            self._clear()
 
     def tick(self) -> None:
-        """Note that this voter runs; called at least each ``TICK_SECONDS``."""
+        """Record that this voter runs; called at least every ``TICK_SECONDS``."""
         with self._lock:
             self._check_gap()
             self._last_tick = self._clock.now()
 
     def observe(self, request: RenewRequest) -> None:
-        """Take a proxy's observations from its renewal."""
+        """Record the observations in a proxy's renewal."""
         with self._lock:
             self._check_gap()
             now = self._clock.now()
-            if now < self._settled_at:
+            if now < self._accept_from:
                 return
             observations = {item.server: item for item in request.observations}
             self._renewals[request.proxy] = ObservedRenewal(
                 request.failure_domain, now, observations
             )
             for observation in request.observations:
-                self._note_role(request.proxy, observation, now)
+                self._record_role(request.proxy, observation, now)
 
     def is_failed(
         self,
@@ -104,7 +105,7 @@
         proxies: Iterable[ProxyRecord],
         settings: DetectorSettings,
     ) -> bool:
-        """Tell whether a primary counts as failed.
+        """Tell whether a primary has failed.
 
         Args:
             server: name of the primary.
@@ -151,11 +152,11 @@
         since = self._demoted_since.get((proxy, observation.server, term))
         return unreachable if since is None else max(unreachable, now - since)
 
-    def _note_role(self, proxy: str, observation: Observation, now: float) -> None:
-        """Note since when a server answers as a replica of its own term.
+    def _record_role(self, proxy: str, observation: Observation, now: float) -> None:
+        """Record since when a server answers as a replica of its own term.
 
-        A primary that restarted may come back as a replica. Before its promotion
-        a replica shows an older term and is not taken for one.
+        A primary that restarted may come back as a replica. A replica that is not
+        promoted yet has an older term and is not mistaken for such a primary.
         """
         status = observation.status
         known = [
@@ -176,13 +177,13 @@
             return
         if now - self._last_tick > MAX_SMOOTH_TICKS * TICK_SECONDS:
             self._last_tick = now
-            self._forget()
+            self._clear()
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self._renewals.clear()
         self._demoted_since.clear()
-        settle = FRESH_RENEW_INTERVALS * self._renew_interval
-        self._settled_at = self._clock.now() + settle
+        settling_time = FRESH_RENEW_INTERVALS * self._renew_interval
+        self._accept_from = self._clock.now() + settling_time
 
 
 def _is_majority(verdicts: list[bool]) -> bool:
--- a/packages/control/src/dogwoodspool_control/promotion/failovers.py
+++ b/packages/control/src/dogwoodspool_control/promotion/failovers.py
@@ -1,4 +1,4 @@
-"""How long each phase of the latest failovers took."""
+"""Durations of the phases of the latest failovers."""
 
 import threading
 from collections import deque
@@ -15,7 +15,7 @@
 
 
 class FailoverPhase(StrEnum):
-    """Ends of a promotion's phases, in their order."""
+    """Ends of the phases of a promotion, in order."""
 
     DETECTED = "detected"
     BEGUN = "begun"
@@ -36,8 +36,8 @@
 class FailoverTimeline:
     """Record and log when each phase of a promotion ended.
 
-    Times count from the detection, or from when this voter took the promotion
-    over from an earlier leader.
+    Times are measured from the detection, or from when this voter took over the
+    promotion from an earlier leader.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -47,7 +47,7 @@
         self._ended: deque[_Failover] = deque(maxlen=MAX_FAILOVERS_KEPT)
 
     def begin(self, group: str, reason: str) -> None:
-        """Begin to count, unless the group's promotion is counted already."""
+        """Start measuring unless the group's promotion is being measured already."""
         with self._lock:
             if group in self._running:
                 return
@@ -55,7 +55,7 @@
         self.mark(group, FailoverPhase.DETECTED)
 
     def mark(self, group: str, phase: FailoverPhase, **fields: Any) -> None:
-        """Record that a phase has ended; only its first end counts."""
+        """Record the end of a phase; only the first one counts."""
         with self._lock:
             failover = self._running.get(group)
             if failover is None or phase in failover.phases_ms:
@@ -74,7 +74,7 @@
         )
 
     def keep_only(self, groups: Collection[str]) -> None:
-        """Forget promotions that did not begin or that another leader ends."""
+        """Discard promotions that did not begin or that another leader completes."""
         with self._lock:
             for group in [name for name in self._running if name not in groups]:
                 del self._running[group]
@@ -92,7 +92,7 @@
             ]
 
 
-def take_over(timeline: FailoverTimeline, promotion: Promotion) -> None:
-    """Begin to count a promotion that is in progress."""
+def track_promotion(timeline: FailoverTimeline, promotion: Promotion) -> None:
+    """Start measuring a promotion that is in progress."""
     timeline.begin(promotion.group, promotion.reason)
     timeline.mark(promotion.group, FailoverPhase.BEGUN, term=promotion.term)
--- a/packages/control/src/dogwoodspool_control/promotion/groups.py
+++ b/packages/control/src/dogwoodspool_control/promotion/groups.py
@@ -1,4 +1,4 @@
-"""Database groups and their promotions as the log's entries change them."""
+"""Database groups and their promotions, as changed by log entries."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -17,11 +17,10 @@
 
 
 class GroupTable:
-    """Groups, promotions in progress and remembered operators' changes.
+    """Groups, promotions in progress and outcomes of operators' changes.
 
-    Every change names the term that its proposer saw. So a command that was
-    decided on older state, by a leader that was replaced meanwhile, changes
-    nothing.
+    Every change names the term that its proposer saw. A command decided on outdated
+    state, by a leader that was replaced in the meantime, therefore has no effect.
     """
 
     def __init__(
@@ -50,9 +49,9 @@
         return self._change_outcomes
 
     def bootstrap(self, index: int, command: BootstrapGroup) -> Outcome:
-        """Record a group that control did not know."""
+        """Record a group that is not known yet."""
         if command.group in self._groups:
-            return _conflict(f"group {command.group} is known")
+            return _conflict(f"group {command.group} already exists")
         self._groups[command.group] = GroupState(
             command.group, command.term, command.primary, Phase.STEADY, ()
         )
@@ -66,8 +65,8 @@
     ) -> Outcome:
         """Begin a promotion, or its next attempt under a newer term.
 
-        Rejections are remembered too: a delayed copy of a rejected request must
-        not take effect after its operator was told that it did not.
+        Rejections are stored too: a delayed copy of a rejected request must not take
+        effect after its operator was told that it was rejected.
         """
         remembered = self._change_outcomes.get(command.change_id)
         if remembered is not None:
@@ -77,12 +76,12 @@
         return outcome
 
     def choose(self, index: int, command: ChoosePrimary) -> Outcome:
-        """Record the new primary and the branch of its term."""
+        """Record the new primary and the branch position of its term."""
         promotion = self._promotions.get(command.group)
         if promotion is None or promotion.term != command.term:
-            return _conflict(f"no promotion of {command.group} to {command.term}")
+            return _conflict(f"no promotion of {command.group} to term {command.term}")
         if promotion.chosen is not None:
-            return _conflict(f"{promotion.chosen} is chosen already")
+            return _conflict(f"{promotion.chosen} is already chosen")
         group = self._groups[command.group]
         start = Position(command.term, command.offset)
         self._promotions[command.group] = replace(promotion, chosen=command.server)
@@ -94,16 +93,16 @@
     def end(self, index: int, command: EndPromotion) -> Outcome:
         """Make the group steady at its new term.
 
-        Between its choice and its promotion the new primary may still have
-        applied entries of the old term. The branch then lies further on; the
-        smaller offset that was in force meanwhile only called more positions
-        lost than are.
+        Between its choice and its promotion the new primary may still have applied
+        entries of the old term, so that the branch lies at a higher offset. The lower
+        offset in force until then is safe: it only reports more positions as lost
+        than really are.
         """
         promotion = self._promotions.get(command.group)
         if promotion is None or promotion.term != command.term:
-            return _conflict(f"no promotion of {command.group} to {command.term}")
+            return _conflict(f"no promotion of {command.group} to term {command.term}")
         if promotion.chosen is None:
-            return _conflict(f"no primary of {command.group} is chosen")
+            return _conflict(f"no primary of {command.group} has been chosen")
         group = self._groups[command.group]
         *earlier, chosen_start = group.term_starts
         start = Position(command.term, max(chosen_start.offset, command.offset))
@@ -114,7 +113,7 @@
         return Outcome(True, index=index, version=command.term)
 
     def adopt(self, index: int, command: AdoptPrimary) -> Outcome:
-        """Record a primary that serves already; a promotion in progress is over."""
+        """Record a primary that already serves, ending a promotion in progress."""
         group = self._groups.get(command.group)
         if group is None or group.term != command.expected_term:
             return _conflict(f"group {command.group} is at another term")
@@ -166,9 +165,9 @@
             )
         if not command.is_retry or current.chosen is None:
             return None
-        # The chosen server may have taken its term although its answer was lost.
-        # No grant of that term was ever given; a newer term keeps its entries
-        # apart from those of the server that is chosen next.
+        # The chosen server may have been promoted to its term although its answer was
+        # lost. No grant was ever issued for that term; a newer term keeps its entries
+        # distinct from those of the server that is chosen next.
         return replace(
             current,
             term=term,
--- a/packages/control/src/dogwoodspool_control/promotion/planned.py
+++ b/packages/control/src/dogwoodspool_control/promotion/planned.py
@@ -1,4 +1,4 @@
-"""Operators' planned changes of a primary."""
+"""Planned changes of primary requested by operators."""
 
 from dogwoodspool_api import PromoteRequest
 from dogwoodspool_backend import BackendError
@@ -15,7 +15,7 @@
 
 
 class PlannedPromotions:
-    """Begin planned promotions and wait for their end."""
+    """Begin planned promotions and wait for their completion."""
 
     def __init__(
         self,
@@ -32,14 +32,14 @@
         self._timeline = timeline
 
     def begin(self, request: PromoteRequest) -> int:
-        """Commit the beginning of a promotion and return its term.
+        """Commit the start of a promotion and return its term.
 
-        The same change id again gets the first answer.
+        A repeated change id returns the first outcome.
 
         Raises:
             CommandRejectedError: it did not begin.
             LeadershipLostError: another voter leads.
-            OutcomeUnknownError: it may have begun; ask again with the same id.
+            OutcomeUnknownError: it may have begun; retry with the same id.
         """
         remembered = self._state.change_outcome(request.change_id)
         if remembered is not None:
@@ -63,7 +63,7 @@
         return self._node.commit(command).version
 
     def wait_ended(self, group: str, term: int, seconds: float) -> bool:
-        """Wait until a promotion has ended; False when time ran out."""
+        """Wait until a promotion has ended; return False on time-out."""
         deadline = self._clock.now() + seconds
         while True:
             version = self._state.version
@@ -77,16 +77,19 @@
             self._state.wait_newer(version, remaining)
 
     def _check_candidate(self, request: PromoteRequest) -> None:
-        """Refuse a candidate that would keep writes waiting while it catches up."""
+        """Reject a candidate that would block writes while it catches up."""
         if request.candidate is None:
             return
         server = self._state.servers.get(request.candidate)
         if server is None or server.group != request.group:
-            message = f"{request.candidate} is no server of {request.group}"
+            message = f"{request.candidate} is not a server of group {request.group}"
             raise CommandRejectedError(CODE_INVALID, message)
         lag_ms = self._lag_ms(server)
         if lag_ms is None or lag_ms > MAX_PLANNED_LAG_MS:
-            message = f"{server.name} does not answer or lags too far behind"
+            message = (
+                f"{server.name} does not answer or lags by more than "
+                f"{MAX_PLANNED_LAG_MS:.0f} ms"
+            )
             raise CommandRejectedError(CODE_CONFLICT, message)
 
     def _lag_ms(self, server: BackendServer) -> float | None:
--- a/packages/control/src/dogwoodspool_control/promotion/promote_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/promote_step.py
@@ -1,4 +1,4 @@
-"""Second half of a promotion: the chosen server takes its term."""
+"""Second half of a promotion: promote the chosen server to the new term."""
 
 from dogwoodspool_backend import BackendError, RoleChanger
 from dogwoodspool_common import Address, BackendServer, Role, ServerStatus, log_event
@@ -12,7 +12,7 @@
 
 
 class PromoteStep:
-    """Carry one promotion from its committed choice to its end."""
+    """Take one promotion from its committed choice to its end."""
 
     def __init__(
         self,
@@ -28,16 +28,16 @@
     def run(self) -> None:
         """Promote the chosen server and end the promotion.
 
-        When it does not answer for ``PROMOTE_ATTEMPT_SECONDS``, the promotion
-        begins again under the next term; errors as for ``ChooseStep.run``.
+        If it does not answer for ``PROMOTE_ATTEMPT_SECONDS``, the promotion restarts
+        under the next term. Errors as for ``ChooseStep.run``.
         """
         group, term = self._promotion.group, self._promotion.term
         status = self._await_promoted()
         if status is None:
-            self._begin_again()
+            self._restart()
             return
         self._dependencies.timeline.mark(group, FailoverPhase.PROMOTED, term=term)
-        self._tell_others()
+        self._request_follow()
         self._dependencies.node.commit(
             EndPromotion(group, term, status.position.offset)
         )
@@ -72,15 +72,15 @@
         group = self._dependencies.state.group(self._promotion.group)
         if group is None or not group.term_starts:
             return False
-        # A server that restarted since the choice may have lost entries that it
-        # was chosen for; it must not take the term with fewer.
+        # A server that restarted since the choice may have lost entries for which it
+        # was chosen; it must not become the primary of the term without them.
         return (
             status.role is Role.PRIMARY
             and status.position.term == self._promotion.term
             and status.position.offset >= group.term_starts[-1].offset
         )
 
-    def _begin_again(self) -> None:
+    def _restart(self) -> None:
         command = BeginPromotion(
             group=self._promotion.group,
             expected_term=self._promotion.term,
@@ -89,8 +89,8 @@
         )
         self._dependencies.node.commit(command)
 
-    def _tell_others(self) -> None:
-        """Let the other servers follow at once; the reconciler repeats it."""
+    def _request_follow(self) -> None:
+        """Tell the other servers to follow immediately; the reconciler retries this."""
         servers = self._dependencies.state.servers_of(self._promotion.group)
         chosen = [one for one in servers if one.name == self._promotion.chosen]
         for primary in chosen:
@@ -108,7 +108,7 @@
 def follow(
     changer: RoleChanger, server: BackendServer, primary: Address, term: int
 ) -> None:
-    """Tell a server to follow its group's primary; log when it could not be told."""
+    """Tell a server to follow its group's primary; log the result."""
     try:
         changer.follow(server, primary, term)
     except BackendError as error:
--- a/packages/control/src/dogwoodspool_control/promotion/promoter.py
+++ b/packages/control/src/dogwoodspool_control/promotion/promoter.py
@@ -1,4 +1,4 @@
-"""Carry promotions of groups whose primaries control itself appoints."""
+"""Run promotions of groups whose primaries are appointed by control itself."""
 
 from ..models import Promotion
 from .choose_step import ChooseStep
@@ -8,7 +8,7 @@
 
 
 class Promoter(PromotionWorker):
-    """Work on one group's promotion: release and choose, then promote."""
+    """Run the promotion of one group: release and choose, then promote."""
 
     def __init__(self, group: str, dependencies: PromotionDependencies) -> None:
         super().__init__(
@@ -21,7 +21,7 @@
         self._dependencies = dependencies
 
     def advance(self, promotion: Promotion) -> None:
-        """Do what follows the committed step; see ``PromotionWorker``."""
+        """Carry out the step after the committed one; see ``PromotionWorker``."""
         if promotion.chosen is None:
             ChooseStep(promotion, self._dependencies, self._progress).run()
         else:
--- a/packages/control/src/dogwoodspool_control/promotion/reconciler.py
+++ b/packages/control/src/dogwoodspool_control/promotion/reconciler.py
@@ -1,4 +1,4 @@
-"""Lead servers that follow an older term to their group's primary."""
+"""Redirect servers with an outdated role or term to their group's primary."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -13,12 +13,12 @@
 
 
 class Reconciler:
-    """Tell servers to follow that show another primary or an older term.
+    """Tell servers that are outdated primaries or have an older term to follow.
 
-    A primary that was replaced while it was cut off comes back believing in its
-    role. No proxy holds a grant for it any more; told to follow, it drops its
-    entries past the branch and serves reads again. Servers refuse older terms,
-    so a command sent late does no harm.
+    A primary that was replaced while it was cut off still acts as primary when it
+    returns. No proxy holds a grant for it any more. Told to follow, it discards its
+    entries past the branch position and serves reads again. Servers reject older
+    terms, so a delayed command is harmless.
     """
 
     def __init__(
@@ -34,10 +34,10 @@
         self._server_observations = server_observations
         self._role_changers = role_changers
         self._executor = executor
-        self._told_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     def run(self) -> None:
-        """Look at all servers once; commands run in the executor."""
+        """Check all servers once; commands run in the executor."""
         servers = self._state.servers
         server_observations = self._server_observations.all
         for group in self._state.groups.values():
@@ -49,7 +49,7 @@
                 if server.group != group.name or observation is None:
                     continue
                 if self._should_follow(server, group, observation):
-                    self._tell(server, primary, group.term)
+                    self._request_follow(server, primary, group.term)
 
     def _should_follow(
         self, server: BackendServer, group: GroupState, observation: ServerObservation
@@ -59,10 +59,12 @@
         is_behind = observation.position.term < group.term
         if not is_behind and observation.role is not Role.PRIMARY:
             return False
-        told_at = self._told_at.get(server.name, NEVER)
-        return self._clock.now() - told_at >= FOLLOW_RETRY_SECONDS
+        requested_at = self._requested_at.get(server.name, NEVER)
+        return self._clock.now() - requested_at >= FOLLOW_RETRY_SECONDS
 
-    def _tell(self, server: BackendServer, primary: BackendServer, term: int) -> None:
-        self._told_at[server.name] = self._clock.now()
+    def _request_follow(
+        self, server: BackendServer, primary: BackendServer, term: int
+    ) -> None:
+        self._requested_at[server.name] = self._clock.now()
         changer = self._role_changers.of_group(server.group)
         self._executor.submit(follow, changer, server, primary.address, term)
--- a/packages/control/src/dogwoodspool_control/promotion/role_changers.py
+++ b/packages/control/src/dogwoodspool_control/promotion/role_changers.py
@@ -1,4 +1,4 @@
-"""Role changers with the settings in force."""
+"""Role changers with the current settings."""
 
 from dogwoodspool_backend import RoleChanger, SqlRoleChanger
 from dogwoodspool_common import Clock
@@ -11,8 +11,8 @@
 class SqlRoleChangers:
     """Build the role changer of a group from its settings.
 
-    Each statement of a role changer has its own connection, one of the
-    connections that ``reserved_connections`` keeps for control.
+    Each statement of a role changer uses its own connection, out of the connections
+    that the setting ``reserved_connections`` keeps for control.
     """
 
     def __init__(self, clock: Clock, state: ControlState, failure_domain: str) -> None:
@@ -21,7 +21,7 @@
         self._failure_domain = failure_domain
 
     def of_group(self, group: str) -> RoleChanger:
-        """Return a role changer with the group's settings in force."""
+        """Return a role changer with the group's current settings."""
         settings = self._state.settings.effective(group, self._failure_domain)
         return SqlRoleChanger(
             settings.backend_user,
--- a/packages/control/src/dogwoodspool_control/promotion/server_observations.py
+++ b/packages/control/src/dogwoodspool_control/promotion/server_observations.py
@@ -1,4 +1,4 @@
-"""What proxies lately said of each backend server."""
+"""The latest reports of proxies on each backend server."""
 
 import threading
 from dataclasses import dataclass, replace
@@ -12,12 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerObservation:
-    """The latest news of one backend server, by the leader's time of receipt.
+    """The latest observation of one backend server.
+
+    All times are of the receipt, by the leader's clock.
 
     Attributes:
-        heard_at: when a proxy last had an answer or an announcement of it.
-        announced: what it announced last; None when only probes tell of it.
-        observed_at: when ``role`` and ``position`` came from a probe; None when
+        heard_at: when a proxy last reported an answer or an announcement from it.
+        announced: what it announced last; None if it is known from probes only.
+        observed_at: when ``role`` and ``position`` were reported by a probe; None if
             they come from an announcement, which may be seconds old.
     """
 
@@ -29,7 +31,7 @@
 
 
 class ServerObservations:
-    """Collect announcements and observations from renewals."""
+    """Collect the announcements and observations in proxies' renewals."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -41,18 +43,18 @@
 
     @property
     def started_at(self) -> float:
-        """Time since which everything was recorded."""
+        """Time since which observations have been recorded."""
         with self._lock:
             return self._started_at
 
     @property
     def all(self) -> dict[str, ServerObservation]:
-        """The latest sightings by server."""
+        """The latest observations by server."""
         with self._lock:
             return dict(self._server_observations)
 
     def reset(self) -> None:
-        """Forget everything, as at the beginning of a leadership."""
+        """Discard all observations at the start of a leadership."""
         with self._lock:
             self._server_observations.clear()
             self._announced_at.clear()
@@ -60,14 +62,14 @@
             self._started_at = self._clock.now()
 
     def observe(self, request: RenewRequest) -> None:
-        """Take what a renewal tells."""
+        """Record the announcements and observations in a renewal."""
         now = self._clock.now()
         with self._lock:
             self._renewed_at[request.failure_domain] = now
             for announcement in request.announcements:
-                self._note_announcement(announcement, now)
+                self._record_announcement(announcement, now)
             for observation in request.observations:
-                self._note_observation(observation, now)
+                self._record_observation(observation, now)
 
     def announced_at(self, server: BackendServer) -> float:
         """Return when exactly these properties were last announced."""
@@ -79,7 +81,7 @@
         with self._lock:
             return self._renewed_at.get(failure_domain, NEVER)
 
-    def _note_announcement(self, announcement: Announcement, now: float) -> None:
+    def _record_announcement(self, announcement: Announcement, now: float) -> None:
         known = self._server_observations.get(announcement.server)
         if known is None and len(self._server_observations) >= MAX_SERVERS:
             return
@@ -94,7 +96,7 @@
             )
         self._server_observations[server.name] = server_observation
 
-    def _note_observation(self, observation: Observation, now: float) -> None:
+    def _record_observation(self, observation: Observation, now: float) -> None:
         status = observation.status
         if status is None or observation.unreachable_ms > 0:
             return
--- a/packages/control/src/dogwoodspool_control/promotion/worker.py
+++ b/packages/control/src/dogwoodspool_control/promotion/worker.py
@@ -1,4 +1,4 @@
-"""Carry promotions in progress to their end, one thread for each group."""
+"""Run promotions in progress to their end, with one thread per group."""
 
 import threading
 from abc import ABC, abstractmethod
@@ -12,13 +12,13 @@
 from ..node import ControlNode
 from ..progress import ProgressReport, PromotionProgress
 from ..state import ControlState
-from .failovers import FailoverTimeline, take_over
+from .failovers import FailoverTimeline, track_promotion
 
 
 class PromotionWorker(ABC):
-    """Work on one group's promotion until it has ended or leadership is lost.
+    """Run one group's promotion until it has ended or leadership is lost.
 
-    Each step begins with what is committed, so that the next leader goes on where
+    Each step starts from the committed state, so that the next leader continues where
     this one stopped.
     """
 
@@ -39,11 +39,11 @@
 
     @property
     def report(self) -> ProgressReport:
-        """The present step."""
+        """The current step."""
         return self._progress.report
 
     def run(self) -> None:
-        """Read the committed step and do what follows it, again and again."""
+        """Read the committed step and carry out the next one until none is left."""
         try:
             term = self._node.require_leadership().term
             while self._step():
@@ -54,11 +54,11 @@
 
     @abstractmethod
     def advance(self, promotion: Promotion) -> None:
-        """Do what follows the committed step.
+        """Carry out the step after the committed one.
 
         Raises:
-            LeadershipLostError: the next leader goes on.
-            OutcomeUnknownError: look at the state again.
+            LeadershipLostError: the next leader continues.
+            OutcomeUnknownError: read the committed state again.
             CommandRejectedError: another step was committed.
         """
 
@@ -66,7 +66,7 @@
         promotion = self._state.promotion(self._group)
         if promotion is None:
             return False
-        take_over(self._timeline, promotion)
+        track_promotion(self._timeline, promotion)
         try:
             self.advance(promotion)
         except OutcomeUnknownError:
@@ -80,7 +80,7 @@
     """Run a worker for each promotion in progress.
 
     Args:
-        build: makes the worker of a group.
+        build: creates the worker of a group.
         after: called with the group when its worker has returned.
     """
 
@@ -98,7 +98,7 @@
 
     @property
     def reports(self) -> list[ProgressReport]:
-        """The present steps of the workers that run here."""
+        """The current steps of the workers of this process."""
         with self._lock:
             return [worker.report for worker, _ in self._running.values()]
 
@@ -113,7 +113,7 @@
             ]
 
     def run_missing(self) -> None:
-        """Start a worker for each promotion that has none here."""
+        """Start a worker for each promotion that has none in this process."""
         in_progress = self._state.promotions
         with self._lock:
             for group, (_, thread) in list(self._running.items()):
@@ -124,7 +124,10 @@
                     self._start(group)
 
     def join(self, timeout: float) -> None:
-        """Wait for workers to notice that this voter leads no more."""
+        """Wait at most ``timeout`` seconds for each worker to return.
+
+        Workers return once they notice that this voter is no longer the leader.
+        """
         with self._lock:
             threads = [thread for _, thread in self._running.values()]
         for thread in threads:
--- a/tests/control/promotion/test_candidates.py
+++ b/tests/control/promotion/test_candidates.py
@@ -15,12 +15,12 @@
 STARTS = (Position(2, 10),)
 ALL_KNOWN = AckKnowledge((Position(2, 20),), is_complete=True, is_replicated=False)
 REPLICATED = AckKnowledge((), is_complete=False, is_replicated=True)
-IN_DOUBT = AckKnowledge((), is_complete=False, is_replicated=False)
+POSSIBLY_UNREPLICATED = AckKnowledge((), is_complete=False, is_replicated=False)
 
 
 @dataclass(frozen=True)
 class Case:
-    """One row: answers by server, and the expected choice."""
+    """One row: the answers by server and the expected choice."""
 
     name: str
     acks: AckKnowledge
@@ -33,19 +33,19 @@
 
 CASES = (
     Case(
-        "the furthest of all replicas has what any of them has",
+        "the most advanced of all replicas has every replicated write",
         REPLICATED,
         {"s2": Position(2, 20), "s3": Position(2, 21)},
         "s3",
     ),
     Case(
-        "a silent replica may be the one with an acknowledged write",
+        "a silent replica may be the only one with an acknowledged write",
         REPLICATED,
         {"s2": Position(2, 20)},
         None,
     ),
     Case(
-        "a known acknowledgement beyond all replicas",
+        "an acknowledged position beyond all replicas",
         AckKnowledge((Position(2, 30),), is_complete=False, is_replicated=True),
         {"s2": Position(2, 20), "s3": Position(2, 21)},
         None,
@@ -63,27 +63,27 @@
         None,
     ),
     Case(
-        "primary acknowledges alone and acks are missing: wait for it",
-        IN_DOUBT,
+        "primary acknowledges alone and positions are unknown: wait for it",
+        POSSIBLY_UNREPLICATED,
         {"s2": Position(2, 99), "s3": Position(2, 99)},
         None,
     ),
     Case(
         "a replica that reached the old primary's position after the release",
-        IN_DOUBT,
+        POSSIBLY_UNREPLICATED,
         {"s1": Position(2, 25), "s2": Position(2, 24), "s3": Position(2, 25)},
         "s3",
     ),
     Case(
         "only the old primary has everything",
-        IN_DOUBT,
+        POSSIBLY_UNREPLICATED,
         {"s1": Position(2, 25), "s2": Position(2, 24), "s3": Position(2, 23)},
         "s1",
         keeps_primary=True,
     ),
     Case(
-        "the old primary is of no use while proxies cannot reach it",
-        IN_DOUBT,
+        "the old primary is not chosen while proxies cannot reach it",
+        POSSIBLY_UNREPLICATED,
         {"s1": Position(2, 25), "s2": Position(2, 24), "s3": Position(2, 23)},
         None,
     ),
@@ -95,13 +95,13 @@
         keeps_primary=True,
     ),
     Case(
-        "entries past the branch of an earlier promotion",
+        "a replica with entries past the branch of an earlier promotion",
         REPLICATED,
         {"s2": Position(1, 12), "s3": Position(2, 11)},
         "s3",
     ),
     Case(
-        "the furthest replica holds dropped entries and cannot be promoted",
+        "the most advanced replica holds discarded entries and cannot be promoted",
         REPLICATED,
         {"s2": Position(1, 12), "s3": Position(2, 9)},
         None,
@@ -113,7 +113,7 @@
         "s2",
     ),
     Case(
-        "planned: the asked-for replica has not caught up yet",
+        "planned: the requested replica has not caught up yet",
         REPLICATED,
         {"s1": Position(2, 25), "s2": Position(2, 24), "s3": Position(2, 25)},
         None,
@@ -122,7 +122,7 @@
         must_catch_up=True,
     ),
     Case(
-        "planned: the asked-for replica has caught up",
+        "planned: the requested replica has caught up",
         REPLICATED,
         {"s1": Position(2, 25), "s2": Position(2, 25), "s3": Position(2, 25)},
         "s2",
@@ -131,19 +131,19 @@
         must_catch_up=True,
     ),
     Case(
-        "planned: undone in favour of the old primary",
+        "planned: reverted to the old primary",
         REPLICATED,
         {"s1": Position(2, 25), "s2": Position(2, 24), "s3": Position(2, 23)},
         "s1",
         PLANNED,
         keeps_primary=True,
     ),
-    Case("nobody answers", REPLICATED, {}, None),
+    Case("no server answers", REPLICATED, {}, None),
 )
 
 
 class ChooseCandidateTests(unittest.TestCase):
-    """Each row of the table of choices."""
+    """Choices of a new primary, by table and by preference."""
 
     def test_choices(self) -> None:
         for case in CASES:
--- a/tests/control/promotion/test_detector.py
+++ b/tests/control/promotion/test_detector.py
@@ -17,7 +17,7 @@
 
 
 class FailureDetectorTests(unittest.TestCase):
-    """Eight proxies in four failure domains watch the primary s1."""
+    """Eight proxies in four failure domains observe the primary s1."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -64,26 +64,26 @@
         self.report("p1 p2 p5 p6", 200, down_ms=200)
         self.assertTrue(self.is_failed())
 
-    def test_one_bad_observer_demotes_nobody(self) -> None:
-        """One proxy has lost its way to the primary and reports it dead.
+    def test_single_faulty_observer_causes_no_failover(self) -> None:
+        """One proxy has lost its connection to the primary and reports it as failed.
 
-        With one registered proxy it would even be the majority of its domains;
-        writes would stop for a primary that serves its callers well.
+        With one registered proxy it would even be the majority of all domains;
+        writes would stop although the primary is healthy.
         """
         self.report("p0", 60_000)
         alone = [PROXIES["p0"]]
         self.assertFalse(self.detector.is_failed("s1", 1, alone, TIMES))
 
-    def test_a_domain_with_a_witness_is_not_counted(self) -> None:
+    def test_domain_without_a_majority_of_reports_is_not_counted(self) -> None:
         self.report("p0 p1 p2 p4", 700)
         self.report("p5 p6", 0)
         self.assertFalse(self.is_failed())
 
-    def test_an_isolated_minority_demotes_nobody(self) -> None:
-        """Two of four domains with the leader lose contact with the rest.
+    def test_isolated_minority_causes_no_failover(self) -> None:
+        """A partition separates the leader and two of four domains from the rest.
 
-        The proxies on the primary's side renew no more; their silence must not
-        make the two domains here the majority.
+        The proxies on the primary's side stop renewing; their silence must not
+        make the two domains on the leader's side the majority.
         """
         self.report("p0 p1 p2 p3 p4 p5 p6 p7", 0)
         self.run_smoothly(0.7)
@@ -95,11 +95,11 @@
         self.run_smoothly(0.65)
         self.assertFalse(self.is_failed())
 
-    def test_a_leader_that_stood_still_starts_over(self) -> None:
-        """The leader is frozen while the primary is away for a moment.
+    def test_leader_discards_observations_after_a_suspension(self) -> None:
+        """The leader's process is suspended while the primary is briefly unreachable.
 
-        When it goes on it reads renewals that were sent meanwhile. The primary
-        serves again, but these old reports would demote it.
+        After resuming, it reads renewals that were sent in the meantime. The primary
+        serves again, but these outdated reports would cause a failover.
         """
         self.clock.advance(0.4)
         self.report("p0 p1 p2 p4 p5 p6", 700)
@@ -121,7 +121,7 @@
         self.assertTrue(self.is_failed(term=2))
 
     def test_a_replica_promoted_just_now_has_not_failed(self) -> None:
-        """Proxies still know the new primary as a replica of the old term."""
+        """Proxies still observe the new primary as a replica of the old term."""
         names = "p0 p1 p2 p4 p5 p6"
         status = ServerStatus("s1", Role.REPLICA, Position(1, 7), 0.0, False)
         self.report(names, 0, status)
--- a/tests/control/promotion/test_promotion.py
+++ b/tests/control/promotion/test_promotion.py
@@ -1,4 +1,4 @@
-"""Tests of promotions from their beginning to their end."""
+"""Tests of promotions from start to end."""
 
 import threading
 import unittest
@@ -37,7 +37,7 @@
 
 
 def cut_before(kind: str) -> Callable[[dict[str, Any]], bool]:
-    """Return the test for commands of one kind."""
+    """Return a predicate that matches commands of one kind."""
     return lambda command: command["kind"] == kind
 
 
@@ -83,9 +83,9 @@
 
 
 class FailoverTests(PromotionCase):
-    """A primary that failed is replaced."""
+    """A failed primary is replaced."""
 
-    def test_the_furthest_replica_takes_the_next_term(self) -> None:
+    def test_most_advanced_replica_becomes_primary_of_the_next_term(self) -> None:
         self.renew(self.voter, "p1", "p2")
         self.voter.commit(BEGIN)
         began_at = self.clock.now()
@@ -99,11 +99,11 @@
         expected = ["detected", "begun", "released", "chosen", "promoted", "ended"]
         self.assertEqual(list(phases), expected)
 
-    def test_a_silent_proxys_lease_is_waited_for(self) -> None:
-        """A proxy is cut off from control and still reaches the old primary.
+    def test_promotion_waits_for_the_lease_of_a_silent_proxy(self) -> None:
+        """A proxy is cut off from control but still reaches the old primary.
 
-        It acknowledges writes until its grant has run out. Were s2 promoted
-        before, such a write would be acknowledged by a replaced primary.
+        It acknowledges writes until its grant has expired. If s2 were promoted
+        before that, such a write would be acknowledged by a replaced primary.
         """
         self.renew(self.voter, "p1", "p2")
         granted_at = self.clock.now()
@@ -113,7 +113,9 @@
         self.assert_steady(2, "s2")
         self.assertGreaterEqual(self.clock.now() - granted_at, 1.53)
 
-    def test_nobody_is_promoted_while_an_acknowledged_write_may_be_lost(self) -> None:
+    def test_no_server_is_promoted_while_an_acknowledged_write_may_be_lost(
+        self,
+    ) -> None:
         self.proxies.acked = {"p1": Position(1, 19)}
         self.renew(self.voter, "p1")
         self.voter.commit(BEGIN)
@@ -122,7 +124,7 @@
         self.assertTrue(self.promote(self.voter))
         self.assert_steady(2, "s3")
 
-    def test_acks_of_the_primary_alone_wait_for_it(self) -> None:
+    def test_writes_acknowledged_by_the_primary_alone_wait_for_it(self) -> None:
         change_root(self.voter, 0, write_ack="primary")
         self.voter.commit(BEGIN)
         self.assertFalse(self.promote(self.voter, seconds=2.0))
@@ -130,11 +132,11 @@
         self.assertTrue(self.promote(self.voter, is_failed=False))
         self.assert_steady(2, "s1")
 
-    def test_a_chosen_server_that_dies_is_followed_by_another_term(self) -> None:
-        """The chosen replica dies before it takes its term.
+    def test_failure_of_the_chosen_server_starts_another_term(self) -> None:
+        """The chosen replica fails before its promotion is confirmed.
 
-        It may have taken the term without its answer arriving, so the next
-        server must not take the same one: two lineages would share a term.
+        It may have been promoted to the term although its answer was lost, so the
+        next server needs another one: two histories would share a term otherwise.
         """
         self.voter.commit(BEGIN)
         self.voter.log_node.cut_before = cut_before("end_promotion")
@@ -152,7 +154,7 @@
             {(name, term) for _, name, term in taken}, {("s2", 2), ("s3", 3)}
         )
 
-    def test_a_server_that_lost_entries_does_not_take_the_term(self) -> None:
+    def test_chosen_server_that_lost_entries_is_not_accepted_as_primary(self) -> None:
         self.voter.commit(BEGIN)
         promote = self.servers.promote
 
@@ -168,9 +170,9 @@
 
 
 class NextLeaderTests(PromotionCase):
-    """A promotion cut half-way is finished by the next leader."""
+    """An interrupted promotion is completed by the next leader."""
 
-    def test_each_step_can_be_taken_over(self) -> None:
+    def test_every_step_can_be_resumed(self) -> None:
         for number, kind in enumerate(("choose_primary", "end_promotion")):
             with self.subTest(cut_before=kind):
                 term = self.voter.state.groups[GROUP].term
@@ -191,11 +193,11 @@
                 self.servers.servers["s1"].position = Position(2, 18)
                 self.servers.servers["s2"].is_silent = True
 
-    def test_a_new_leader_waits_for_grants_it_does_not_know(self) -> None:
-        """The leader grants p2, begins a promotion and dies; p2 is cut off.
+    def test_new_leader_waits_for_unknown_grants(self) -> None:
+        """The leader issues a grant to p2, begins a promotion and fails; p2 is cut off.
 
-        The next leader's table is empty. Only the time since it began to lead
-        tells it that p2 cannot acknowledge any more.
+        The next leader's table is empty. Only the time since the start of its
+        leadership shows that p2 can no longer acknowledge writes.
         """
         self.renew(self.voter, "p1", "p2")
         self.voter.commit(BEGIN)
@@ -206,7 +208,7 @@
         self.assertTrue(self.promote(self.other))
         self.assertGreaterEqual(self.clock.now() - began_at, 1.53)
 
-    def test_a_new_leader_does_not_wait_when_all_have_answered(self) -> None:
+    def test_new_leader_does_not_wait_when_all_proxies_have_answered(self) -> None:
         self.voter.commit(BEGIN)
         self.voter.stop_leading()
         self.other.lead(term=2)
@@ -214,13 +216,11 @@
         self.assertTrue(self.promote(self.other))
         self.assertLess(self.clock.now() - began_at, 1.0)
 
-    def test_a_restarted_proxys_answer_does_not_speak_for_its_old_process(
-        self,
-    ) -> None:
-        """p2's process is frozen with a grant; a new one starts and registers.
+    def test_answer_of_a_restarted_proxy_does_not_cover_its_old_process(self) -> None:
+        """p2's process is suspended with a grant; a new one starts and registers.
 
-        Then the leader changes. The new process answers the release, but the
-        frozen one wakes up and acknowledges under its old grant.
+        Then the leader changes. The new process answers the release, but the old
+        one resumes and acknowledges writes under its old grant.
         """
         self.renew(self.voter, "p2")
         address = self.voter.state.proxies["p2"].address
@@ -233,11 +233,11 @@
         self.assertTrue(self.promote(self.other))
         self.assertGreaterEqual(self.clock.now() - began_at, 1.53)
 
-    def test_a_removed_proxy_is_waited_for(self) -> None:
+    def test_promotion_waits_for_a_removed_proxy(self) -> None:
         """An operator removes p2 from control while its process still runs.
 
-        Then the leader changes. All registered proxies answer, but p2 is not
-        asked any more and acknowledges until its grant has run out.
+        Then the leader changes. All registered proxies answer, but p2 is no longer
+        called and acknowledges writes until its grant has expired.
         """
         self.other.ages.observe(self.other.state.proxies)
         self.renew(self.voter, "p2")
@@ -252,7 +252,7 @@
 
 
 class RacingPromotionTests(PromotionCase):
-    """Two promotions of one group at the same time."""
+    """Concurrent promotions of one group."""
 
     def test_the_second_to_begin_is_rejected(self) -> None:
         self.voter.commit(BEGIN)
@@ -279,7 +279,7 @@
         promotions = Promotions(dependencies)
         promotions.run_missing()
         promotions.run_missing()
-        # The clock stands still, so that the promoter waits for p1's lease.
+        # The clock does not advance, so that the promoter waits for p1's lease.
         names = [thread.name for thread in threading.enumerate()]
         self.assertEqual(names.count(f"promote-{GROUP}"), 1)
         join = partial(promotions.join, timeout=20.0)
@@ -288,7 +288,7 @@
 
 
 class PlannedPromotionTests(PromotionCase):
-    """An operator moves the primary while everything works."""
+    """An operator changes the primary while all servers are healthy."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -298,7 +298,7 @@
             BeginPromotion(GROUP, 1, PromotionReason.PLANNED, "s3", change_id="c1")
         )
 
-    def test_the_old_primary_is_fenced_and_its_last_entry_kept(self) -> None:
+    def test_old_primary_is_fenced_and_its_last_entry_is_kept(self) -> None:
         began_at = self.clock.now()
         self.assertTrue(self.promote(self.voter, is_failed=False))
         self.assert_steady(2, "s3")
@@ -306,7 +306,7 @@
         self.assertEqual(self.servers.calls[0], ("fence", "s1", 2))
         self.assertEqual(self.servers.servers["s3"].position, Position(2, 20))
 
-    def test_a_candidate_that_stays_behind_undoes_it(self) -> None:
+    def test_candidate_that_does_not_catch_up_reverts_the_promotion(self) -> None:
         self.servers.replicates = False
         self.assertTrue(self.promote(self.voter, is_failed=False, seconds=8.0))
         self.assert_steady(2, "s1")
--- a/tests/control/promotion/test_reconciler.py
+++ b/tests/control/promotion/test_reconciler.py
@@ -1,4 +1,4 @@
-"""Tests of servers that are led to their group's primary."""
+"""Tests of servers that are redirected to their group's primary."""
 
 import unittest
 from concurrent.futures import ThreadPoolExecutor
@@ -56,11 +56,11 @@
         seen = [observation(name, status=status)]
         self.server_observations.observe(renewal("p1", observations=seen))
 
-    def test_a_returned_primary_and_a_stray_replica_are_told_to_follow(self) -> None:
-        """The old primary was cut off and comes back believing in its role.
+    def test_returned_primary_and_outdated_replica_are_told_to_follow(self) -> None:
+        """The old primary was cut off and still acts as primary when it returns.
 
-        It serves old rows and accepts writes that nobody acknowledges, until it
-        is told that the group went on without it.
+        It serves outdated rows and accepts writes that no proxy acknowledges, until
+        it is told to follow the new primary.
         """
         self.voter.commit(EndPromotion(GROUP, 2, 5))
         self.see("s1", Role.PRIMARY, Position(1, 8))
@@ -68,11 +68,11 @@
         self.see("s3", Role.REPLICA, Position(1, 5))
         self.assertEqual(self.run_once(), [("follow", "s1", 2), ("follow", "s3", 2)])
 
-    def test_nobody_is_told_anything_while_a_promotion_is_under_way(self) -> None:
+    def test_no_server_is_told_to_follow_during_a_promotion(self) -> None:
         self.see("s1", Role.PRIMARY, Position(1, 8))
         self.assertEqual(self.run_once(), [])
 
-    def test_a_replica_of_the_present_term_is_left_alone(self) -> None:
+    def test_replica_of_the_current_term_is_not_told_to_follow(self) -> None:
         self.voter.commit(EndPromotion(GROUP, 2, 5))
         self.see("s3", Role.REPLICA, Position(2, 5))
         self.assertEqual(self.run_once(), [])
