--- a/packages/control/src/dogwoodspool_control/grants/__init__.py
+++ b/packages/control/src/dogwoodspool_control/grants/__init__.py
@@ -1,1 +1,1 @@
-"""Rights to write, and shares of connections."""
+"""Write grants and connection shares of proxies."""
--- a/packages/control/src/dogwoodspool_control/grants/grants.py
+++ b/packages/control/src/dogwoodspool_control/grants/grants.py
@@ -1,4 +1,4 @@
-"""The leader's memory of the grants that it gave."""
+"""The leader's record of the grants that it has issued."""
 
 import threading
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
 
 
 class GrantState(Protocol):
-    """What grants are decided on."""
+    """The state on which grants are decided."""
 
     @property
     def proxies(self) -> Mapping[str, ProxyRecord]:
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class _GroupAcks:
-    """Acknowledged offsets by term, and holders that may have more."""
+    """Acknowledged offsets by term, and holders that may have acknowledged more."""
 
     offsets: dict[int, int]
     unreported: set[HolderKey]
@@ -54,14 +54,15 @@
 
 
 class GrantTable:
-    """Give grants and tell when none of a group can be valid any more.
+    """Issue grants and determine when no grant of a group can be valid any more.
 
-    A proxy counts its lease from when it sent the request. The table counts from
-    when the request was received, which is later, and adds the clocks' largest
-    difference in rate, so an expiry here is never before the proxy's own.
+    A proxy measures its lease from when it sent the request. The table measures from
+    when the request was received, which is later, and adds the largest rate
+    difference of the clocks, so an expiry here is never before the proxy's own.
 
-    What the predecessor gave is unknown. It ended before this leadership began,
-    so it has run out ``lease_bound_ms`` after ``Leadership.since``.
+    Grants issued by the predecessor are unknown. The predecessor's leadership ended
+    before this one began, so they have expired ``lease_bound_ms`` after
+    ``Leadership.since``.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         self._lock = threading.Lock()
         self._term: int | None = None
         self._since = 0.0
-        self._bound = 0.0
+        self._max_lease = 0.0
         self._holdings: dict[tuple[str, str, str], Holding] = {}
         self._acks: dict[str, _GroupAcks] = {}
         self._incarnations: dict[str, str] = {}
@@ -84,16 +85,16 @@
         """Time from which no grant or lease of an earlier leader is valid."""
         leadership = self._leadership.require_leadership()
         with self._lock:
-            self._follow(leadership)
-            return self._since + self._bound
+            self._reset_on_new_leadership(leadership)
+            return self._since + self._max_lease
 
     @property
     def longest_lease(self) -> float:
-        """Longest time in seconds that a lease of any leader may run."""
+        """Longest duration in seconds of a lease issued by any leader."""
         return self._state.settings.lease_bound_ms / MILLISECONDS
 
     def renew(self, request: RenewRequest, received_at: float) -> Lease:
-        """Record what a proxy reports and give it grants for a lease's time.
+        """Record what a proxy reports and issue grants to it for one lease.
 
         Raises:
             LeadershipLostError: the grants must not be sent.
@@ -101,26 +102,26 @@
         """
         leadership = self._leadership.require_leadership()
         with self._lock:
-            self._follow(leadership)
-            self._note_incarnation(request)
-            self._note_acks(request)
-            lease = self._give(request, received_at)
-        # The process may have stood still since the first check, for longer than
-        # its lease. Another leader may act by now; these grants are then unknown
-        # to it and younger than the wait for its predecessor's.
+            self._reset_on_new_leadership(leadership)
+            self._record_incarnation(request)
+            self._record_acks(request)
+            lease = self._issue(request, received_at)
+        # The process may have been suspended since the first check for longer than its
+        # leadership lease. Another leader may be active by now. It does not know these
+        # grants, and they may outlast its wait for the predecessor's grants.
         if self._leadership.require_leadership().term != leadership.term:
             raise LeadershipLostError
         return lease
 
     def release(self, released: Release) -> None:
-        """Record that a proxy's process has given up its grant of a term."""
+        """Record that a proxy's process has released its grant of a term."""
         key = (released.proxy, released.incarnation, released.group)
         with self._lock:
             acks = self._acks_of(released.group)
             _raise_offset(acks, released.acked)
             holding = self._holdings.get(key)
             if holding is not None and holding.term > released.term:
-                # A late answer: the proxy holds a newer grant by now.
+                # The answer is late: the proxy already holds a newer grant.
                 return
             self._holdings.pop(key, None)
             acks.unreported.discard(key[:2])
@@ -129,7 +130,7 @@
         """Return a group's grants that may still be valid."""
         now = self._clock.now()
         with self._lock:
-            self._follow(self._leadership.require_leadership())
+            self._reset_on_new_leadership(self._leadership.require_leadership())
             return [
                 holding
                 for holding in self._holdings.values()
@@ -137,7 +138,7 @@
             ]
 
     def knowledge(self, group: str) -> AckKnowledge:
-        """Return what is known of a group's acknowledged writes."""
+        """Return what is known about a group's acknowledged writes."""
         is_replicated = self._state.settings.is_settled(group)
         with self._lock:
             acks = self._acks_of(group)
@@ -150,12 +151,12 @@
             )
 
     def is_history_known(self, group: str) -> bool:
-        """Tell whether writes acknowledged under earlier leaders are bounded."""
+        """Tell whether an upper bound of writes under earlier leaders is known."""
         with self._lock:
             return self._acks_of(group).is_history_known
 
     def all_proxies_reached(self, version: int) -> bool:
-        """Tell whether each registered proxy reported this version or a newer one."""
+        """Tell whether every registered proxy reported at least this view version."""
         proxies = self._state.proxies
         with self._lock:
             return all(
@@ -166,74 +167,76 @@
     def record_primary_position(
         self, group: str, position: Position, asked_at: float
     ) -> None:
-        """Take the primary's position as a bound of what was acknowledged.
+        """Record the primary's position as an upper bound of acknowledged writes.
 
         Args:
             group: the primary's group.
-            position: its answer, at the group's present term.
-            asked_at: when it was asked: each write acknowledged before that is
-                at or below the position.
+            position: its answer, at the group's current term.
+            asked_at: when the position was requested; each write acknowledged before
+                that is at or below the position.
         """
         with self._lock:
             acks = self._acks_of(group)
             ended = {
                 key for key in acks.unreported if self._expiry((*key, group)) < asked_at
             }
-            is_past_predecessor = asked_at > self._since + self._bound
+            is_past_predecessor = asked_at > self._since + self._max_lease
             if not ended and (acks.is_history_known or not is_past_predecessor):
                 return
             acks.unreported -= ended
             acks.is_history_known |= is_past_predecessor
             _raise_offset(acks, position)
 
-    def _follow(self, leadership: Leadership) -> None:
+    def _reset_on_new_leadership(self, leadership: Leadership) -> None:
         if leadership.term == self._term:
             return
         self._term = leadership.term
         self._since = leadership.since
-        self._bound = self.longest_lease
+        self._max_lease = self.longest_lease
         self._holdings.clear()
         self._acks.clear()
         self._incarnations.clear()
         self._versions.clear()
 
-    def _note_incarnation(self, request: RenewRequest) -> None:
+    def _record_incarnation(self, request: RenewRequest) -> None:
         record = self._state.proxies.get(request.proxy)
         known = self._incarnations.get(request.proxy)
         is_replaced = record is not None and request.incarnation in record.replaced
-        # The newer process may not be registered yet while its renewal was seen.
-        is_outrun = (
+        # The newer process may not be registered yet although its renewal was received.
+        is_superseded = (
             record is not None
             and known not in (None, request.incarnation)
             and request.incarnation == record.incarnation
             and known not in record.replaced
         )
-        if is_replaced or is_outrun:
-            raise StaleIncarnationError(f"{request.proxy} runs as a newer process")
+        if is_replaced or is_superseded:
+            raise StaleIncarnationError(
+                f"{request.proxy} has been replaced by a newer process"
+            )
         self._incarnations[request.proxy] = request.incarnation
         self._versions[request.proxy, request.incarnation] = request.view_version
 
-    def _note_acks(self, request: RenewRequest) -> None:
+    def _record_acks(self, request: RenewRequest) -> None:
         for report in request.groups:
             if report.acked is not None:
                 _raise_offset(self._acks_of(report.group), report.acked.value())
 
-    def _give(self, request: RenewRequest, received_at: float) -> Lease:
-        # One reading of the settings for the recorded and the answered time.
+    def _issue(self, request: RenewRequest, received_at: float) -> Lease:
+        # The settings are read once, so that the recorded and the returned lease agree.
         root = self._state.settings.root
-        life = root.lease_ms / MILLISECONDS * (1 + root.clock_drift)
-        expires_at = received_at + life
+        duration = root.lease_ms / MILLISECONDS * (1 + root.clock_drift)
+        expires_at = received_at + duration
         record = self._state.proxies.get(request.proxy)
         if record is None or record.incarnation != request.incarnation:
             return Lease(root.lease_ms, expires_at, is_registered=False)
         grants = []
-        # The group's phase is read while the table is locked. A promotion reads
-        # the table after its beginning was applied: it sees every grant that was
-        # decided on the phase before.
+        # The group's phase is read while the table is locked. A promotion reads the
+        # table after its start was applied, so it sees every grant that was issued on
+        # the basis of the earlier phase.
         for group in self._state.groups.values():
             if group.phase is not Phase.STEADY or group.primary is None:
                 continue
-            self._hold(request, group, expires_at)
+            self._record_grant(request, group, expires_at)
             grants.append(
                 Grant(group=group.name, term=group.term, primary=group.primary)
             )
@@ -241,7 +244,7 @@
             root.lease_ms, expires_at, is_registered=True, grants=tuple(grants)
         )
 
-    def _hold(
+    def _record_grant(
         self, request: RenewRequest, group: GroupState, expires_at: float
     ) -> None:
         key = (request.proxy, request.incarnation, group.name)
--- a/packages/control/src/dogwoodspool_control/grants/release.py
+++ b/packages/control/src/dogwoodspool_control/grants/release.py
@@ -1,4 +1,4 @@
-"""Make sure that nobody holds a grant of the old term any more."""
+"""Ensure that no proxy holds a grant of the old term any more."""
 
 from concurrent.futures import FIRST_COMPLETED, Future, ThreadPoolExecutor, wait
 from dataclasses import dataclass
@@ -23,15 +23,15 @@
 
 
 class ReleaseClient(Protocol):
-    """Ask proxies to give up grants."""
+    """Request the release of grants from proxies."""
 
     def release(self, proxy: ProxyRecord, request: ReleaseRequest) -> ReleaseResponse:
-        """Return the proxy's answer; raise ``ReleaseFailedError`` for none."""
+        """Return the proxy's answer; raise ``ReleaseFailedError`` if there is none."""
         ...
 
 
 class HttpReleaseClient:
-    """Ask proxies over HTTP."""
+    """Send release requests over HTTP."""
 
     def __init__(self, client: JsonClient) -> None:
         self._client = client
@@ -50,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseProgress:
-    """What a release still waits for.
+    """What a release is still waiting for.
 
     Attributes:
         waiting_for: proxies that may hold a grant.
-        seconds: time until the last of their grants has run out.
+        seconds: time until the last of their grants has expired.
     """
 
     waiting_for: tuple[str, ...]
@@ -67,13 +67,13 @@
 
 
 class GroupRelease:
-    """Collect the grants of one group's old term.
+    """Release the grants of one group's old term.
 
-    A grant has ended when its proxy's process answered that it gave it up, or
-    when its lease has run out on the leader's clock with drift added. Grants of
-    earlier leaders are not known here: until the last of them has run out, every
-    registered proxy must have answered, and must not have been restarted lately,
-    as the process before can not be asked.
+    A grant has ended when its proxy's process answered that it released it, or when
+    its lease has expired on the leader's clock with drift added. Grants of earlier
+    leaders are not known here: until the last of them has expired, every registered
+    proxy must have answered, and must not have restarted within the longest lease,
+    as its previous process cannot be called.
     """
 
     def __init__(
@@ -98,23 +98,29 @@
         )
         self._answered: set[tuple[str, str]] = set()
         self._calls: dict[Future[None], str] = {}
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
-    def ask(self, proxies: dict[str, ProxyRecord]) -> None:
-        """Ask each proxy that has not answered and is not being asked."""
+    def request(self, proxies: dict[str, ProxyRecord]) -> None:
+        """Call each proxy that has not answered and has no call in flight.
+
+        A failed call is retried after ``RELEASE_RETRY_SECONDS``.
+        """
         now = self._clock.now()
-        asked = set(self._calls.values())
+        in_flight = set(self._calls.values())
         for proxy in proxies.values():
-            if (proxy.name, proxy.incarnation) in self._answered or proxy.name in asked:
+            if (
+                proxy.name,
+                proxy.incarnation,
+            ) in self._answered or proxy.name in in_flight:
                 continue
-            asked_at = self._asked_at.get(proxy.name)
-            if asked_at is not None and now - asked_at < RELEASE_RETRY_SECONDS:
+            requested_at = self._requested_at.get(proxy.name)
+            if requested_at is not None and now - requested_at < RELEASE_RETRY_SECONDS:
                 continue
-            self._asked_at[proxy.name] = now
+            self._requested_at[proxy.name] = now
             self._calls[self._executor.submit(self._call, proxy)] = proxy.name
 
     def wait_for_answer(self, seconds: float) -> None:
-        """Wait until a call has ended, at most some seconds."""
+        """Wait at most ``seconds`` until a call has ended."""
         if not self._calls:
             self._clock.sleep(seconds)
             return
@@ -123,7 +129,7 @@
             del self._calls[call]
 
     def progress(self, proxies: dict[str, ProxyRecord]) -> ReleaseProgress:
-        """Tell what is still waited for."""
+        """Return what the release is still waiting for."""
         now = self._clock.now()
         waiting = {
             holding.proxy: holding.expires_at
--- a/packages/control/src/dogwoodspool_control/grants/renewals.py
+++ b/packages/control/src/dogwoodspool_control/grants/renewals.py
@@ -1,4 +1,4 @@
-"""Answer renewals: the one message by which proxies and the leader talk."""
+"""Answer renewals, the periodic message of each proxy to the leader."""
 
 import threading
 from collections.abc import Callable, Mapping
@@ -21,7 +21,7 @@
 
 
 class RenewalRate:
-    """Bound how often one proxy renews, by a token bucket for each."""
+    """Limit how often each proxy renews, with one token bucket per proxy."""
 
     def __init__(self, clock: Clock, limit: int) -> None:
         self._clock = clock
@@ -30,7 +30,7 @@
         self._buckets: dict[str, tuple[float, float]] = {}
 
     def check(self, proxy: str) -> None:
-        """Take one token; raise ``TooManyRenewalsError`` when there is none."""
+        """Take one token; raise ``TooManyRenewalsError`` if none is left."""
         now = self._clock.now()
         with self._lock:
             if proxy not in self._buckets and len(self._buckets) >= self._limit:
@@ -40,11 +40,13 @@
             tokens = min(tokens, RENEWAL_BURST)
             self._buckets[proxy] = (max(0.0, tokens - 1), now)
         if tokens < 1:
-            raise TooManyRenewalsError(f"{proxy} renews too often")
+            raise TooManyRenewalsError(
+                f"{proxy} renews more than {MAX_RENEWALS_PER_SECOND} times a second"
+            )
 
 
 class Renewals:
-    """Take in what a proxy reports and give grants and shares."""
+    """Record what a proxy reports and issue grants and shares to it."""
 
     def __init__(
         self,
@@ -94,11 +96,11 @@
         self._register(request)
         if lease.is_registered:
             self._detector.observe(request)
-            self._note_renewal(request, received_at)
+            self._record_renewal(request, received_at)
             if any(item.unreachable_ms > 0 for item in request.observations):
                 self._on_unreachable()
         self._server_observations.observe(request)
-        shares = self._share(request, lease) if lease.is_registered else {}
+        shares = self._renew_shares(request, lease) if lease.is_registered else {}
         if self._node.require_leadership().term != leadership.term:
             raise LeadershipLostError
         return RenewResponse(
@@ -112,19 +114,19 @@
     def _register(self, request: RenewRequest) -> None:
         record = self._state.proxies.get(request.proxy)
         address = Address.parse(request.address)
-        wanted = (request.incarnation, request.failure_domain, address)
-        if record is not None and wanted == _registered(record):
+        reported = (request.incarnation, request.failure_domain, address)
+        if record is not None and reported == _registration_of(record):
             return
-        self._queue.offer(RegisterProxy(request.proxy, *wanted))
+        self._queue.offer(RegisterProxy(request.proxy, *reported))
 
-    def _note_renewal(self, request: RenewRequest, received_at: float) -> None:
+    def _record_renewal(self, request: RenewRequest, received_at: float) -> None:
         with self._lock:
             self._renewed_at[request.proxy] = (received_at, request.view_version)
 
     def _withdrawn(self, request: RenewRequest) -> list[str]:
-        """Name the held grants that end now.
+        """Return the groups whose grant the proxy loses now.
 
-        While a planned promotion drains writes in flight, its release decides
+        While a planned promotion drains writes in flight, its release determines
         when the grant ends.
         """
         promotions = self._state.promotions
@@ -136,7 +138,7 @@
             and promotions[report.group].reason is PromotionReason.FAILED
         ]
 
-    def _share(self, request: RenewRequest, lease: Lease) -> dict[str, int]:
+    def _renew_shares(self, request: RenewRequest, lease: Lease) -> dict[str, int]:
         leadership = self._node.require_leadership()
         share_request = ShareRequest(
             request.proxy,
@@ -170,5 +172,5 @@
         return divide_connections(server.connections, group, by_proxy)
 
 
-def _registered(record: ProxyRecord) -> tuple[str, str, Address]:
+def _registration_of(record: ProxyRecord) -> tuple[str, str, Address]:
     return record.incarnation, record.failure_domain, record.address
--- a/packages/control/src/dogwoodspool_control/grants/shares.py
+++ b/packages/control/src/dogwoodspool_control/grants/shares.py
@@ -1,4 +1,4 @@
-"""Leases of connections to backend servers, by demand."""
+"""Demand-based leases of connections to backend servers."""
 
 import threading
 from collections.abc import Iterable, Mapping
@@ -14,9 +14,9 @@
     """How the connections of one backend server are divided.
 
     Attributes:
-        bases: durable share of each registered proxy.
-        leasable: connections beyond all base shares, also those of proxies that
-            may still register.
+        bases: base share of each registered proxy, which needs no lease.
+        leasable: connections beyond all base shares, including those reserved for
+            proxies that may still register.
     """
 
     bases: Mapping[str, int]
@@ -25,11 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareRequest:
-    """What a proxy's process asks for in a renewal.
+    """The connections that a proxy's process requests in a renewal.
 
     Attributes:
-        demand: connections wanted for each backend server.
-        expires_at: the leader's time at which this renewal's lease has run out.
+        demand: connections requested for each backend server.
+        expires_at: time on the leader's clock at which this renewal's lease has
+            expired.
     """
 
     proxy: str
@@ -55,10 +56,10 @@
     group: EffectiveSettings,
     by_proxy: Mapping[str, EffectiveSettings],
 ) -> ServerLimits:
-    """Divide a server's connections into base shares and the rest.
+    """Divide a server's connections into base shares and leasable connections.
 
     Args:
-        connections: what the server takes.
+        connections: number of connections that the server accepts.
         group: the settings of the server's group.
         by_proxy: for each registered proxy the settings in its failure domain.
     """
@@ -67,12 +68,14 @@
         name: base_share(connections, settings) for name, settings in by_proxy.items()
     }
     unregistered = max(0, group.max_proxies - len(bases))
-    promised = sum(bases.values()) + unregistered * base_share(connections, group)
-    return ServerLimits(bases, max(0, limit - promised))
+    guaranteed = sum(bases.values()) + unregistered * base_share(connections, group)
+    return ServerLimits(bases, max(0, limit - guaranteed))
 
 
 def fair_shares(capacity: int, wanted: Mapping[str, int]) -> dict[str, int]:
-    """Divide a capacity max-min fairly: nobody gets less so that another gets more.
+    """Divide a capacity by max-min fairness.
+
+    No share can grow without reducing another that is not larger.
 
     Example:
         >>> fair_shares(9, {"p1": 2, "p2": 9, "p3": 9})
@@ -82,8 +85,8 @@
     remaining = max(0, capacity)
     ordered = sorted(wanted, key=lambda name: (wanted[name], name))
     for position, name in enumerate(ordered):
-        equal_part = remaining // (len(ordered) - position)
-        shares[name] = min(wanted[name], equal_part)
+        equal_share = remaining // (len(ordered) - position)
+        shares[name] = min(wanted[name], equal_share)
         remaining -= shares[name]
     for name in sorted(wanted):
         if remaining and shares[name] < wanted[name]:
@@ -93,11 +96,11 @@
 
 
 class ShareLedger:
-    """Lease the connections beyond the base shares for a renewal's lease time.
+    """Lease the connections beyond the base shares for the lease time of a renewal.
 
-    A share that shrinks counts in full until the lease under which it was given
-    has run out: the proxy may still use it. So what one proxy gets is bounded by
-    what the leases of all others leave, and the sum never exceeds the limit.
+    A share that shrinks counts in full until the lease under which it was issued has
+    expired, as the proxy may still use it. Each share is therefore limited to what the
+    leases of all other proxies leave, and the sum never exceeds the limit.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -117,14 +120,14 @@
         """Return the proxy's share of each server, its base share included.
 
         Args:
-            request: what the proxy asks for.
+            request: the proxy's request.
             limits: division of each server's connections.
-            leadership_term: a new one makes this leader forget its leases.
-            leases_from: time from which the leases of earlier leaders, which
-                are not known here, have run out.
+            leadership_term: term of the leadership; a new one discards all leases.
+            leases_from: time by which the leases of earlier leaders, which are not
+                known here, have expired.
         """
         with self._lock:
-            self._follow(leadership_term)
+            self._reset_on_new_leadership(leadership_term)
             may_lease = self._clock.now() >= leases_from
             return {
                 server: self._renew_server(request, server, limit, may_lease)
@@ -132,12 +135,12 @@
             }
 
     def leased(self, server: str) -> int:
-        """Return how many of a server's connections are leased now."""
+        """Return how many of a server's connections are currently leased."""
         with self._lock:
             holders = self._leases.get(server, {})
             return sum(self._held(shares) for shares in holders.values())
 
-    def _follow(self, leadership_term: int) -> None:
+    def _reset_on_new_leadership(self, leadership_term: int) -> None:
         if leadership_term != self._leadership_term:
             self._leadership_term = leadership_term
             self._leases.clear()
--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -79,7 +79,7 @@
         while True:
             self._dependencies.node.require_leadership()
             proxies = self._dependencies.state.proxies
-            self._release.ask(proxies)
+            self._release.request(proxies)
             progress = self._release.progress(proxies)
             if progress.is_done:
                 return
@@ -175,5 +175,5 @@
     def _report_refusal(self, refusal: ChoiceRefusal) -> None:
         self._progress.note("choice", refusal.waiting_for, refusal.reason)
         # A proxy that was unreachable before may now report what it acknowledged.
-        self._release.ask(self._dependencies.state.proxies)
+        self._release.request(self._dependencies.state.proxies)
         self._dependencies.clock.sleep(STATUS_POLL_SECONDS)
--- a/tests/control/grants/test_grants.py
+++ b/tests/control/grants/test_grants.py
@@ -1,4 +1,4 @@
-"""Tests of the leader's memory of grants."""
+"""Tests of the leader's record of grants."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class GrantTableTests(unittest.TestCase):
-    """When a grant is given, and when it has surely ended."""
+    """When a grant is issued, and when it is certain to have ended."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -22,7 +22,7 @@
         populate(self.voter, {"p1": "fd1"})
         self.table = self.voter.table
 
-    def test_a_grant_counts_for_its_lease_and_the_drift(self) -> None:
+    def test_grant_is_held_for_its_lease_plus_clock_drift(self) -> None:
         lease = self.table.renew(renewal("p1"), received_at=0.0)
         self.assertEqual([grant.term for grant in lease.grants], [1])
         self.assertEqual(lease.lease_ms, 1500)
@@ -31,7 +31,7 @@
         self.clock.advance(0.031)
         self.assertEqual(self.table.holdings(GROUP), [])
 
-    def test_a_shorter_lease_does_not_shorten_the_one_before(self) -> None:
+    def test_shorter_lease_does_not_shorten_an_earlier_one(self) -> None:
         self.table.renew(renewal("p1"), received_at=0.0)
         change_root(self.voter, 0, lease_ms=700)
         self.assertEqual(self.table.renew(renewal("p1"), 0.1).lease_ms, 700)
@@ -48,22 +48,22 @@
         self.assertFalse(lease.is_registered)
         self.assertEqual(lease.grants, ())
 
-    def test_a_grant_is_kept_back_when_leadership_is_lost_meanwhile(self) -> None:
-        """A leader stands still between its check and its answer.
+    def test_grant_is_withheld_if_leadership_is_lost_meanwhile(self) -> None:
+        """A leader is suspended between its leadership check and its answer.
 
-        It would send a grant after another voter began to lead. The second check
-        of the lease, after the grant was computed, stops it.
+        It would send a grant after another voter became the leader. The second
+        check, after the grant was computed, prevents this.
         """
         answers = iter([Leadership(1, 0.0, FAR), None])
         self.voter.log_node.leadership = lambda: next(answers, None)  # type: ignore[method-assign]
         with self.assertRaises(LeadershipLostError):
             self.table.renew(renewal("p1"), 0.0)
 
-    def test_a_new_leader_does_not_trust_an_empty_table(self) -> None:
-        """A leader grants p1, then another voter takes over and knows nothing.
+    def test_new_leader_accounts_for_grants_missing_from_its_table(self) -> None:
+        """A leader issues a grant to p1, then another voter becomes the leader.
 
-        Were its empty table taken for the truth, a primary could be replaced
-        while p1 still acknowledges writes of the old term.
+        Its table is empty. If it relied on that, a primary could be replaced while
+        p1 still acknowledges writes of the old term.
         """
         self.table.renew(renewal("p1"), 0.0)
         self.clock.advance(0.5)
@@ -72,17 +72,17 @@
         self.assertEqual(other.table.holdings(GROUP), [])
         self.assertAlmostEqual(other.table.predecessor_expiry, 0.5 + 1.53)
 
-    def test_a_longer_lease_of_earlier_settings_still_binds(self) -> None:
+    def test_longer_lease_of_earlier_settings_still_applies(self) -> None:
         change_root(self.voter, 0, lease_ms=6000, clock_drift=0.0)
         change_root(self.voter, 1, lease_ms=900, clock_drift=0.0)
         self.voter.lead(term=2)
         self.assertAlmostEqual(self.table.predecessor_expiry, 6.0)
 
-    def test_a_replaced_process_is_refused_and_its_grant_still_counts(self) -> None:
-        """A proxy restarts; its old process was frozen and wakes up.
+    def test_replaced_process_is_rejected_and_its_grant_still_counts(self) -> None:
+        """A proxy restarts; its old process was suspended and resumes.
 
-        Both would acknowledge writes. The old one gets no grant any more, and
-        what it holds is waited for.
+        Both would acknowledge writes. The old one gets no further grant, and the
+        grant it holds counts until it expires.
         """
         self.table.renew(renewal("p1"), 0.0)
         newer = renewal("p1", incarnation="p1-b")
@@ -99,14 +99,14 @@
         with self.assertRaises(StaleIncarnationError):
             self.table.renew(renewal("p1"), 0.4)
 
-    def test_a_late_answer_to_a_release_keeps_the_newer_grant(self) -> None:
+    def test_late_release_answer_keeps_the_newer_grant(self) -> None:
         self.table.renew(renewal("p1"), 0.0)
         self.table.release(Release("p1", "p1-a", GROUP, 0, None))
         self.assertEqual(len(self.table.holdings(GROUP)), 1)
 
 
 class AckKnowledgeTests(unittest.TestCase):
-    """What is known of acknowledged writes."""
+    """What is known about acknowledged writes."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -126,7 +126,7 @@
         self.assertTrue(knowledge.is_complete)
         self.assertEqual(knowledge.positions, (Position(1, 12),))
 
-    def test_an_answer_from_before_the_predecessors_leases_ended_is_no_bound(
+    def test_position_from_before_the_predecessors_leases_ended_is_no_bound(
         self,
     ) -> None:
         self.table.renew(renewal("p1"), 0.0)
@@ -134,7 +134,9 @@
         self.table.record_primary_position(GROUP, Position(1, 9), asked_at=1.0)
         self.assertFalse(self.table.knowledge(GROUP).is_complete)
 
-    def test_writes_acked_by_the_primary_alone_stay_in_doubt(self) -> None:
+    def test_writes_acknowledged_by_the_primary_alone_count_as_unreplicated(
+        self,
+    ) -> None:
         self.assertTrue(self.table.knowledge(GROUP).is_replicated)
         change_root(self.voter, 0, write_ack="primary")
         change_root(self.voter, 1, write_ack="replica")
--- a/tests/control/grants/test_shares.py
+++ b/tests/control/grants/test_shares.py
@@ -29,15 +29,15 @@
 
 
 class FairSharesTests(unittest.TestCase):
-    """How the connections beyond base shares are divided."""
+    """Division of the connections beyond base shares."""
 
-    def test_small_demands_are_met_and_the_rest_is_equal(self) -> None:
+    def test_small_demands_are_met_and_the_rest_is_divided_equally(self) -> None:
         self.assertEqual(
             fair_shares(9, {"a": 1, "b": 20, "c": 20}), {"a": 1, "b": 4, "c": 4}
         )
         self.assertEqual(fair_shares(0, {"a": 3}), {"a": 0})
 
-    def test_nothing_is_left_while_somebody_wants_more(self) -> None:
+    def test_nothing_is_left_while_demand_is_unmet(self) -> None:
         for capacity in range(12):
             shares = fair_shares(capacity, {"a": 2, "b": 3, "c": 7})
             self.assertEqual(sum(shares.values()), capacity)
@@ -46,13 +46,13 @@
         self.assertEqual(base_share(8, SETTINGS), 0)
         self.assertEqual(base_share(20, EffectiveSettings(base_connections=5)), 2)
 
-    def test_places_of_proxies_to_come_are_kept(self) -> None:
+    def test_base_shares_of_unregistered_proxies_are_reserved(self) -> None:
         few = divide_connections(CONNECTIONS, SETTINGS, {"p0": SETTINGS})
         self.assertEqual(few.leasable, LIMIT - SETTINGS.max_proxies)
 
 
 class ShareLedgerTests(unittest.TestCase):
-    """Single cases of leased shares."""
+    """Individual cases of leased shares."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(start=100.0)
@@ -63,7 +63,7 @@
         shares = self.ledger.renew(request, {"s1": LIMITS}, 1, leases_from)
         return shares["s1"]
 
-    def test_demand_decides_and_a_shrunk_share_is_lent_on_after_its_lease(
+    def test_shares_follow_demand_and_are_reused_after_their_lease(
         self,
     ) -> None:
         self.assertEqual(self.renew("p0", 20), 1 + 9)
@@ -74,21 +74,21 @@
         self.clock.advance(LEASE - 0.2)
         self.assertEqual(self.renew("p1", 20), 1 + 5)
 
-    def test_a_new_leader_gives_base_shares_first(self) -> None:
+    def test_new_leader_issues_only_base_shares_at_first(self) -> None:
         self.assertEqual(self.renew("p0", 20, leases_from=101.53), 1)
         self.clock.advance(1.53)
         self.assertEqual(self.renew("p0", 20, leases_from=101.53), 10)
 
-    def test_an_unregistered_proxy_gets_nothing_durable(self) -> None:
+    def test_unregistered_proxy_gets_no_base_share(self) -> None:
         self.assertEqual(self.renew("p99", 0), 0)
 
 
 class ShareMachine(RuleBasedStateMachine):
-    """Random demand, lost answers, restarts, frozen processes, leader changes.
+    """Random demand, lost answers, restarts, suspended processes, leader changes.
 
-    Each process uses the largest share under any of its leases that still runs,
-    on a clock that runs as slow as allowed, counted from a request that left
-    some time before it came in. Replaced processes go on with what they have.
+    Each process uses the largest share of its leases that have not expired, on the
+    slowest clock allowed, measured from when the request was sent, which is some time
+    before it was received. Replaced processes keep using their shares.
     """
 
     def __init__(self) -> None:
@@ -146,7 +146,7 @@
 
 
 class ShareMachineTests(unittest.TestCase):
-    """The sum of shares never exceeds what the server takes."""
+    """The sum of shares never exceeds the connections that the server accepts."""
 
     def test_random_histories(self) -> None:
         run_state_machine_as_test(
