--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/upkeep.py
@@ -10,8 +10,8 @@
 from ..commands import Command, LowerLeaseBound, SettleWriteAcks
 from ..const import AUDIT_SECONDS, FRESH_RENEW_INTERVALS
 from ..grants.grants import GrantTable
-from ..promotion.parts import RoleChangers
-from ..promotion.sightings import Sightings
+from ..promotion.dependencies import RoleChangers
+from ..promotion.server_observations import ServerObservations
 from ..state import ControlState
 
 
@@ -56,14 +56,14 @@
         state: ControlState,
         *,
         table: GrantTable,
-        sightings: Sightings,
+        server_observations: ServerObservations,
         role_changers: RoleChangers,
         submit: Callable[[Callable[[], None]], object],
     ) -> None:
         self._clock = clock
         self._state = state
         self._table = table
-        self._sightings = sightings
+        self._server_observations = server_observations
         self._role_changers = role_changers
         self._submit = submit
         self._asked_at: dict[str, float] = {}
@@ -102,7 +102,7 @@
         except BackendError:
             return
         if status.role is Role.PRIMARY and status.position.term == group.term:
-            self._table.note_primary(group.name, status.position, asked_at)
+            self._table.record_primary_position(group.name, status.position, asked_at)
 
     def _is_replicated(self, name: str, settings_index: int) -> bool:
         """Tell whether one replica holds all that was acknowledged without one."""
@@ -110,12 +110,14 @@
         if group is None or not self._is_in_force(name, settings_index):
             return False
         acks = self._table.knowledge(name)
-        sightings = self._sightings.all
+        server_observations = self._server_observations.all
         return self._table.is_history_known(name) and any(
             server.name != group.primary
-            and server.name in sightings
+            and server.name in server_observations
             and all(
-                is_covered(acked, sightings[server.name].position, group.term_starts)
+                is_covered(
+                    acked, server_observations[server.name].position, group.term_starts
+                )
                 for acked in acks.positions
             )
             for server in self._state.servers_of(name)
@@ -127,7 +129,7 @@
         Every proxy must follow the stricter setting, and for so long that a
         write which began before has ended and was reported.
         """
-        if not self._table.all_follow(settings_index):
+        if not self._table.all_proxies_reached(settings_index):
             self._followed_since.pop(name, None)
             return False
         now = self._clock.now()
--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -1,4 +1,4 @@
-"""First half of a promotion: end the old term's grants and choose a primary."""
+"""First half of a promotion: end the grants of the old term and choose a primary."""
 
 from collections.abc import Mapping, Sequence
 
@@ -17,82 +17,89 @@
 from ..models import ChoiceRefusal, Promotion, PromotionReason
 from ..progress import PromotionProgress
 from .candidates import Choice, ChoiceInput, choose_candidate
+from .dependencies import PromotionDependencies
 from .failovers import FailoverPhase
-from .parts import PromotionParts
 from .server_poll import ServerPoll
 
 
 class ChooseStep:
-    """Carry one promotion from its beginning to its committed choice.
+    """Take one promotion from its start to its committed choice.
 
-    Every step may be repeated by another leader: releasing twice is harmless,
-    and only one choice is committed for a term.
+    Another leader may repeat every step: releasing twice is harmless, and only one
+    choice is committed per term.
     """
 
     def __init__(
-        self, promotion: Promotion, parts: PromotionParts, progress: PromotionProgress
+        self,
+        promotion: Promotion,
+        dependencies: PromotionDependencies,
+        progress: PromotionProgress,
     ) -> None:
         self._promotion = promotion
-        self._parts = parts
+        self._dependencies = dependencies
         self._progress = progress
-        self._changer = parts.role_changers.of_group(promotion.group)
+        self._changer = dependencies.role_changers.of_group(promotion.group)
         self._release = GroupRelease(
             promotion,
             self._drain_ms(),
-            clock=parts.clock,
-            table=parts.table,
-            ages=parts.ages,
-            client=parts.release_client,
-            executor=parts.executor,
+            clock=dependencies.clock,
+            table=dependencies.table,
+            ages=dependencies.ages,
+            client=dependencies.release_client,
+            executor=dependencies.executor,
         )
 
     def run(self) -> None:
-        """Release, choose and commit.
+        """Release the grants, choose a primary and commit the choice.
 
         Raises:
-            LeadershipLostError: the next leader goes on.
-            OutcomeUnknownError: look at the state again.
+            LeadershipLostError: the next leader continues.
+            OutcomeUnknownError: read the committed state again.
             CommandRejectedError: another choice was committed.
         """
         group = self._promotion.group
         self._await_release()
-        self._parts.timeline.mark(group, FailoverPhase.RELEASED)
+        self._dependencies.timeline.mark(group, FailoverPhase.RELEASED)
         choice = self._await_choice()
         command = ChoosePrimary(
             group, self._promotion.term, choice.server, choice.offset
         )
-        self._parts.node.commit(command)
-        self._parts.timeline.mark(
+        self._dependencies.node.commit(command)
+        self._dependencies.timeline.mark(
             group, FailoverPhase.CHOSEN, server=choice.server, offset=choice.offset
         )
 
     def _drain_ms(self) -> int:
         if self._promotion.reason is not PromotionReason.PLANNED:
             return 0
-        settings = self._parts.state.settings.effective(self._promotion.group)
+        settings = self._dependencies.state.settings.effective(self._promotion.group)
         return settings.release_drain_ms
 
     def _await_release(self) -> None:
         while True:
-            self._parts.node.require_leadership()
-            proxies = self._parts.state.proxies
-            self._release.ask(proxies)
+            self._dependencies.node.require_leadership()
+            proxies = self._dependencies.state.proxies
+            self._release.request(proxies)
             progress = self._release.progress(proxies)
             if progress.is_done:
                 return
-            self._progress.note("release", progress.waiting_for, "grants may be valid")
+            self._progress.note(
+                "release", progress.waiting_for, "grants may still be valid"
+            )
             self._release.wait_for_answer(min(progress.seconds, RELEASE_RETRY_SECONDS))
 
     def _await_choice(self) -> Choice:
         must_catch_up = self._fence_old_primary()
-        began_at = self._parts.clock.now()
-        poll = ServerPoll(self._parts.clock, self._changer, self._parts.executor)
+        began_at = self._dependencies.clock.now()
+        poll = ServerPoll(
+            self._dependencies.clock, self._changer, self._dependencies.executor
+        )
         while True:
-            self._parts.node.require_leadership()
-            waited = self._parts.clock.now() - began_at
+            self._dependencies.node.require_leadership()
+            waited = self._dependencies.clock.now() - began_at
             must_catch_up = must_catch_up and waited < CATCH_UP_SECONDS
-            servers = self._parts.state.servers_of(self._promotion.group)
-            poll.ask(servers)
+            servers = self._dependencies.state.servers_of(self._promotion.group)
+            poll.request(servers)
             if poll.is_waiting:
                 poll.wait_for_answer(STATUS_POLL_SECONDS)
             if self._should_wait(servers, poll, waited):
@@ -102,12 +109,12 @@
                 case Result(tag="ok", ok=choice):
                     return choice
                 case Result(error=refusal):
-                    self._note_refusal(refusal)
+                    self._report_refusal(refusal)
 
     def _should_wait(
         self, servers: Sequence[BackendServer], poll: ServerPoll, waited: float
     ) -> bool:
-        """Give replicas a moment to answer, so that the best one can be chosen."""
+        """Give replicas time to answer, so that the best one can be chosen."""
         if not poll.is_waiting or waited >= CHOICE_GRACE_SECONDS:
             return False
         old_primary = self._promotion.old_primary
@@ -125,13 +132,13 @@
         must_catch_up: bool,
     ) -> Result[Choice, ChoiceRefusal]:
         promotion = self._promotion
-        group = self._parts.state.group(promotion.group)
+        group = self._dependencies.state.group(promotion.group)
         return choose_candidate(
             ChoiceInput(
                 promotion=promotion,
                 servers=servers,
                 statuses=statuses,
-                acks=self._parts.table.knowledge(promotion.group),
+                acks=self._dependencies.table.knowledge(promotion.group),
                 term_starts=() if group is None else group.term_starts,
                 may_keep_primary=self._may_keep_primary(),
                 must_catch_up=must_catch_up,
@@ -139,21 +146,21 @@
         )
 
     def _may_keep_primary(self) -> bool:
-        # To the proxies it may still be unreachable; promoting it again would
-        # only begin the next failover.
+        # The proxies may still be unable to reach it; promoting it again would only
+        # cause the next failover.
         promotion = self._promotion
-        return not self._parts.is_failed(promotion.group, promotion.old_primary)
+        return not self._dependencies.is_failed(promotion.group, promotion.old_primary)
 
     def _fence_old_primary(self) -> bool:
-        """End writes at the old primary of a planned promotion.
+        """Stop writes at the old primary of a planned promotion.
 
         Returns:
-            Whether its data is final, so that a replica can reach all of it.
+            Whether its data is final, so that a replica can catch up completely.
         """
         promotion = self._promotion
         if promotion.reason is not PromotionReason.PLANNED:
             return False
-        servers = self._parts.state.servers
+        servers = self._dependencies.state.servers
         old_primary = servers.get(promotion.old_primary)
         if old_primary is None:
             return False
@@ -165,8 +172,8 @@
             return False
         return True
 
-    def _note_refusal(self, refusal: ChoiceRefusal) -> None:
+    def _report_refusal(self, refusal: ChoiceRefusal) -> None:
         self._progress.note("choice", refusal.waiting_for, refusal.reason)
-        # A proxy that could not be reached before may tell what it acknowledged.
-        self._release.ask(self._parts.state.proxies)
-        self._parts.clock.sleep(STATUS_POLL_SECONDS)
+        # A proxy that was unreachable before may now report what it acknowledged.
+        self._release.request(self._dependencies.state.proxies)
+        self._dependencies.clock.sleep(STATUS_POLL_SECONDS)
