--- a/packages/settings/src/dogwoodspool_settings/__init__.py
+++ b/packages/settings/src/dogwoodspool_settings/__init__.py
@@ -1,7 +1,7 @@
-"""Hold the settings tree: inheritance, validation, changes.
+"""Provide the settings tree with inheritance, validation and versioned changes.
 
-Declared files are read by ``declarations``, which is imported by itself: only the
-command line reads them, and every other process starts faster without a YAML parser.
+``declarations`` is not imported here: only the command line reads declaration files,
+and every other process starts faster without loading a YAML parser.
 """
 
 from dogwoodspool_api import SettingsNode
--- a/packages/settings/src/dogwoodspool_settings/answers.py
+++ b/packages/settings/src/dogwoodspool_settings/answers.py
@@ -1,4 +1,4 @@
-"""Remember the answer to each change, so that a resend gets the first one."""
+"""Record the answer to each change, so that a retry gets the same one."""
 
 import hashlib
 import json
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RememberedAnswer:
+class RecordedAnswer:
     """The first answer to a change id.
 
     Attributes:
@@ -26,33 +26,33 @@
 
 
 class AnswerMemory:
-    """Hold the latest answers, the oldest forgotten first.
+    """Store the latest answers and evict the oldest first.
 
-    Retention counts answers and reads no clock, so that every voter forgets the
-    same ones at the same log entry.
+    Retention is limited by the number of answers and not by time, so that every
+    voter evicts the same ones at the same log entry.
     """
 
     def __init__(self, retained: int) -> None:
         self._retained = retained
-        self._answers: OrderedDict[str, RememberedAnswer] = OrderedDict()
+        self._answers: OrderedDict[str, RecordedAnswer] = OrderedDict()
 
-    def all(self) -> list[RememberedAnswer]:
-        """Return the remembered answers, the oldest first."""
+    def all(self) -> list[RecordedAnswer]:
+        """Return the recorded answers, the oldest first."""
         return list(self._answers.values())
 
-    def get(self, change_id: str) -> RememberedAnswer | None:
-        """Return the remembered answer to a change id."""
+    def get(self, change_id: str) -> RecordedAnswer | None:
+        """Return the recorded answer to a change id."""
         return self._answers.get(change_id)
 
-    def remember(self, answer: RememberedAnswer) -> None:
-        """Add an answer and forget the oldest one beyond the retention."""
+    def add(self, answer: RecordedAnswer) -> None:
+        """Add an answer and evict the oldest ones beyond the retention."""
         self._answers[answer.change_id] = answer
         while len(self._answers) > self._retained:
             self._answers.popitem(last=False)
 
 
 def content_digest(change: SettingsChange) -> str:
-    """Return a digest of what a change asks for; its author does not matter."""
+    """Return a digest of what a change requests; its author is not part of it."""
     content = [change.path, change.expected_version, change.overrides]
     text = json.dumps(content, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()
--- a/packages/settings/src/dogwoodspool_settings/change_check.py
+++ b/packages/settings/src/dogwoodspool_settings/change_check.py
@@ -1,4 +1,4 @@
-"""Decide whether a change of a settings node may take effect."""
+"""Decide whether a change to a settings node is accepted."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -20,10 +20,10 @@
 
 
 class ChangeCheck:
-    """Check one change against the nodes as they are.
+    """Check one change against the current nodes.
 
-    Only the changed node and those below it are validated: nothing else can be
-    touched by the change, and so the work does not grow with the whole tree.
+    Only the changed node and those below it are validated: the change cannot affect
+    any other node, so the work does not grow with the whole tree.
     """
 
     def __init__(self, nodes: NodeStore, history: ChangeHistory) -> None:
--- a/packages/settings/src/dogwoodspool_settings/change_history.py
+++ b/packages/settings/src/dogwoodspool_settings/change_history.py
@@ -9,7 +9,7 @@
 
 
 class ChangeHistory:
-    """Hold accepted changes with their secrets, the oldest dropped first."""
+    """Store accepted changes with their secrets and drop the oldest first."""
 
     def __init__(self, retained: int, entries: Iterable[HistoryEntry] = ()) -> None:
         self._entries: deque[HistoryEntry] = deque(entries, maxlen=retained)
@@ -24,14 +24,15 @@
 
     def latest(self, limit: int, path: str | None) -> list[HistoryEntry]:
         """Return redacted entries of one path or of all, the newest first."""
-        # A copy first: an operator's look at the history would fail when a change is
-        # applied meanwhile. The copy is one step of the interpreter.
+        # Copy first: an operator's request for the history would fail when a change is
+        # applied meanwhile. The copy is one step of the interpreter, which no other
+        # thread can interrupt.
         newest_first = reversed(list(self._entries))
         entries = [entry for entry in newest_first if path in (None, entry.path)]
         return [_redacted(entry) for entry in entries[:limit]]
 
     def overrides_of(self, path: str, version: int) -> Mapping[str, Any] | None:
-        """Return what a node overrode at one version, if that is still held."""
+        """Return a node's overrides at one version, None if no longer retained."""
         for entry in self._entries:
             if entry.path == path and entry.version == version:
                 return entry.overrides
--- a/packages/settings/src/dogwoodspool_settings/const.py
+++ b/packages/settings/src/dogwoodspool_settings/const.py
@@ -15,13 +15,14 @@
 
 SECRET_KEYS: Final = frozenset({CONF_TOKEN_KEY, CONF_BACKEND_PASSWORD})
 
-# One renewal covers all groups, and the count of proxies is one for the system.
+# A proxy renews its grants of all groups in one request, and the number of proxies is
+# limited for the system as a whole, so these cannot differ per group.
 ROOT_ONLY_KEYS: Final = frozenset(
     {"lease_ms", "renew_interval_ms", "clock_drift", "max_proxies"}
 )
-# Sessions roam between failure domains, promotions span them, and the shares of a
-# backend server's connections add up over them, so that these must be the same
-# for all proxies of a group.
+# Sessions move between failure domains, promotions involve all of them, and the shares
+# of a backend server's connections are summed over them, so all proxies of a group
+# must use the same values.
 NOT_PER_FAILURE_DOMAIN_KEYS: Final = frozenset(
     {
         CONF_TOKEN_KEY,
@@ -45,7 +46,7 @@
 
 
 class Level(IntEnum):
-    """Depth of a node; also the number of names in its path."""
+    """Depth of a node in the tree, equal to the number of names in its path."""
 
     ROOT = 0
     SERVICE = 1
--- a/packages/settings/src/dogwoodspool_settings/declarations.py
+++ b/packages/settings/src/dogwoodspool_settings/declarations.py
@@ -1,7 +1,7 @@
-"""Declarations: a folder of YAML files that mirrors the tree.
+"""Read declarations, a folder of YAML files that mirrors the tree.
 
 ``root.yaml``, ``SERVICE/service.yaml``, ``SERVICE/GROUP/group.yaml`` and
-``SERVICE/GROUP/FAILURE_DOMAIN.yaml`` each hold the overrides of one node.
+``SERVICE/GROUP/FAILURE_DOMAIN.yaml`` each contain the overrides of one node.
 """
 
 from collections.abc import Iterator
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredNode:
-    """One node as a file declares it.
+    """One node as declared in a file.
 
     Attributes:
         file: the file, relative to the folder of the declarations.
-        overrides: what it overrides, without the secrets that have a source.
+        overrides: the overrides without the secrets that have a source.
         secret_sources: where the other secrets come from, by the secret's name.
     """
 
@@ -41,21 +41,21 @@
 def load_declarations(folder: Path) -> list[DeclaredNode]:
     """Read the declarations in a folder, parents before children.
 
-    A level's own file must stand there, be it empty: a folder that lost its
-    ``root.yaml`` or is the wrong one must not read as "delete everything".
+    The file of each level must exist, even if it is empty: a folder that lost its
+    ``root.yaml``, or the wrong folder, must not be taken for "delete everything".
 
     Raises:
-        DeclarationError: names file, key and reason of the first fault.
+        DeclarationError: with file, key and reason of the first fault.
     """
     if not folder.is_dir():
-        raise DeclarationError(str(folder), "", "it is no folder")
+        raise DeclarationError(str(folder), "", "it is not a folder")
     return [_load(folder, file, names) for file, names in _walk_root(folder)]
 
 
 def _walk_root(folder: Path) -> Iterator[tuple[Path, tuple[str, ...]]]:
-    yield _own_file(folder, ROOT_FILE), ()
+    yield _require_file(folder, ROOT_FILE), ()
     for service in _subfolders(folder, ROOT_FILE):
-        yield _own_file(service, SERVICE_FILE), (service.name,)
+        yield _require_file(service, SERVICE_FILE), (service.name,)
         for group in _subfolders(service, SERVICE_FILE):
             yield from _walk_group(group, (service.name, group.name))
 
@@ -63,7 +63,7 @@
 def _walk_group(
     folder: Path, names: tuple[str, ...]
 ) -> Iterator[tuple[Path, tuple[str, ...]]]:
-    yield _own_file(folder, GROUP_FILE), names
+    yield _require_file(folder, GROUP_FILE), names
     for file in _entries(folder):
         if file.name == GROUP_FILE:
             continue
@@ -73,19 +73,19 @@
         yield file, (*names, file.stem)
 
 
-def _own_file(folder: Path, name: str) -> Path:
+def _require_file(folder: Path, name: str) -> Path:
     file = folder / name
     if not file.is_file():
         raise DeclarationError(str(file), "", "the file is missing")
     return file
 
 
-def _subfolders(folder: Path, own_file: str) -> Iterator[Path]:
+def _subfolders(folder: Path, level_file: str) -> Iterator[Path]:
     for entry in _entries(folder):
         if entry.is_dir():
             yield entry
-        elif entry.name != own_file:
-            reason = f"only {own_file} and folders belong here"
+        elif entry.name != level_file:
+            reason = f"only {level_file} and folders belong here"
             raise DeclarationError(str(entry), "", reason)
 
 
--- a/packages/settings/src/dogwoodspool_settings/errors.py
+++ b/packages/settings/src/dogwoodspool_settings/errors.py
@@ -8,7 +8,7 @@
 
 
 class InvalidPathError(SettingsTreeError):
-    """Report a text that is no path of a node."""
+    """Report a text that is not a valid node path."""
 
 
 class UnknownNodeError(SettingsTreeError):
@@ -16,7 +16,7 @@
 
 
 class ReadOnlyTreeError(SettingsTreeError):
-    """Report a change of a tree that only mirrors another one."""
+    """Report a change to a read-only mirror of another tree."""
 
 
 class SnapshotError(SettingsTreeError):
@@ -24,12 +24,12 @@
 
 
 class DeclarationError(SettingsTreeError):
-    """Report a declaration in a file that cannot be used.
+    """Report an invalid declaration in a file.
 
     Attributes:
-        file: the file or folder at fault.
-        key: the key at fault, empty for the file as a whole.
-        reason: what is wrong with it, without any value.
+        file: the invalid file or folder.
+        key: the invalid key; empty when the file as a whole is invalid.
+        reason: what is wrong, without the value, which may be a secret.
     """
 
     def __init__(self, file: str, key: str, reason: str) -> None:
--- a/packages/settings/src/dogwoodspool_settings/inheritance.py
+++ b/packages/settings/src/dogwoodspool_settings/inheritance.py
@@ -1,4 +1,4 @@
-"""Merge the overrides of a node's lineage into effective values."""
+"""Merge the overrides of a node and its ancestors into effective values."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -12,32 +12,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Layer:
-    """The overrides of one node on the way from the root."""
+    """The overrides of one node on the path from the root."""
 
     path: str
     overrides: Mapping[str, Any]
 
 
 def merge(layers: Iterable[Layer]) -> EffectiveSettings:
-    """Return the values in force below some layers, the root's first.
+    """Return the effective settings of some layers, given from the root down.
 
-    Each key is inherited by itself, and so is each statement. ``users`` is
-    replaced as a whole: whoever lists users says who may come in. Unknown keys
-    are left out, so that an older proxy can follow a newer control.
+    Each key and each statement is inherited separately. ``users`` is replaced as a
+    whole: a node that lists users defines the complete set that may connect. Unknown
+    keys are ignored, so that an older proxy works with newer control processes.
     """
     values: dict[str, Any] = {}
     statements: dict[str, str] = {}
     for layer in layers:
         given = dict(layer.overrides)
-        statements.update(_known(given.pop(CONF_STATEMENTS, {}), statement_names()))
-        values.update(_known(given, setting_names()))
+        statements.update(
+            _select_known(given.pop(CONF_STATEMENTS, {}), statement_names())
+        )
+        values.update(_select_known(given, setting_names()))
     if CONF_WRITE_ACK in values:
         values[CONF_WRITE_ACK] = WriteAck(values[CONF_WRITE_ACK])
     return EffectiveSettings(**values, statements=Statements(**statements))
 
 
 def explain(layers: Iterable[Layer]) -> list[ExplainedValue]:
-    """Return each value in force with the path of the node that gives it."""
+    """Return each effective value with the path of the node that sets it."""
     found = {value.key: value for value in _default_values()}
     for layer in layers:
         shown = redact(layer.overrides)
@@ -65,5 +67,5 @@
     return flat
 
 
-def _known(values: Mapping[str, Any], names: tuple[str, ...]) -> dict[str, Any]:
+def _select_known(values: Mapping[str, Any], names: tuple[str, ...]) -> dict[str, Any]:
     return {name: value for name, value in values.items() if name in names}
--- a/packages/settings/src/dogwoodspool_settings/models.py
+++ b/packages/settings/src/dogwoodspool_settings/models.py
@@ -9,10 +9,11 @@
     """When a write is acknowledged to its caller.
 
     Attributes:
-        PRIMARY: the primary has answered it.
-        REPLICA: a replica has it, which the proxy waits for.
-        GROUP: the group itself answers only once a replica has it, and its
-            servers refuse work from the moment in which another is promoted.
+        PRIMARY: once the primary has answered it.
+        REPLICA: once a replica has it, which the proxy waits for.
+        GROUP: once the primary has answered it; the database group itself answers
+            only when a replica has the write, and its servers refuse work from the
+            moment another server is promoted.
     """
 
     PRIMARY = "primary"
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statements:
-    """Statements on backend servers, with ``{name}`` for their arguments."""
+    """Statements sent to backend servers; ``{name}`` stands for an argument."""
 
     status: str = "SHOW STANDIN STATUS"
     wait: str = "STANDIN WAIT TERM {term} OFFSET {offset} TIMEOUT {timeout_ms}"
@@ -33,46 +34,51 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveSettings:
-    """The values in force for one database group in one failure domain.
+    """Effective settings of one database group in one failure domain.
 
     Attributes:
-        deadline_ms: time for a statement whose caller states none.
-        max_age_ms: age that reads accept whose caller states none; null lets
-            the session's own position alone decide.
-        idempotent: whether a write whose caller says nothing may run again.
+        deadline_ms: deadline of a statement whose caller sets none.
+        max_age_ms: maximum age of the data for reads whose caller sets none; null
+            means that only the session's own position decides.
+        idempotent: whether a write may be run again when its caller does not say.
         write_ack: when a write is acknowledged.
-        write_ack_timeout_ms: wait for a replica before the outcome is unknown.
-        lease_ms: life of grants and leased connection shares.
+        write_ack_timeout_ms: time to wait for a replica before a write is reported
+            with an unknown outcome.
+        lease_ms: lifetime of grants and leased connection shares.
         renew_interval_ms: time between a proxy's renewals.
-        clock_drift: largest difference in rate between two clocks, a fraction.
-        failure_detect_ms: unreachable time after which an observer calls a
-            primary failed.
-        down_detect_ms: time of refused connections after which an observer calls
-            a primary failed.
-        release_drain_ms: time for writes in flight at a planned promotion.
+        clock_drift: largest difference in rate between two clocks, as a fraction.
+        failure_detect_ms: time that a primary is unreachable before an observer
+            considers it failed.
+        down_detect_ms: time that a primary refuses connections before an observer
+            considers it failed.
+        release_drain_ms: time for writes in flight to finish at a switchover.
         probe_interval_ms: time between a proxy's probes of a primary; a replica
             is probed a fourth as often.
-        probe_timeout_ms: wait for a probe's answer.
-        announcement_expiry_ms: silence after which an announcement is dropped.
-        replica_wait_ms: wait for a replica to catch up before the primary is read.
-        base_connections: durable share of each proxy per backend server.
-        reserved_connections: connections per backend server kept for control.
-        max_proxies: proxies that may register.
+        probe_timeout_ms: time to wait for a probe's answer.
+        announcement_expiry_ms: time after which an announcement that is not
+            repeated is dropped.
+        replica_wait_ms: time to wait for a replica to catch up before reading from
+            the primary.
+        base_connections: connections per backend server that each proxy may always
+            use, even when it is cut off from control.
+        reserved_connections: connections per backend server reserved for control.
+        max_proxies: maximum number of registered proxies.
         idle_connection_ms: idle time after which a connection is closed.
-        connect_timeout_ms: wait for a new connection.
-        queue_limit: statements that may wait for one backend server.
+        connect_timeout_ms: time to wait for a new connection.
+        queue_limit: maximum number of statements that wait for one backend server.
         retry_budget_ratio: retries allowed per statement served.
         retry_budget_min: retries always allowed per second.
-        max_transaction_ms: longest life of a caller's transaction.
-        max_transaction_idle_ms: longest time between two statements of one.
-        server_connections: connections that each server takes; null goes by what
-            the servers announce.
-        request_retention_s: life of a request id's row.
+        max_transaction_ms: maximum duration of a caller's transaction.
+        max_transaction_idle_ms: maximum time between two statements of a
+            transaction.
+        server_connections: connections that each server accepts; null uses the
+            number that each server announces.
+        request_retention_s: time for which a request id's row is kept.
         token_key: key that signs session tokens; secret.
         users: callers' names and their ``mysql_native_password`` hashes.
-        backend_user: name towards backend servers.
-        backend_password: password towards backend servers; secret.
-        statements: statements on backend servers.
+        backend_user: user name on backend servers.
+        backend_password: password on backend servers; secret.
+        statements: statements sent to backend servers.
     """
 
     deadline_ms: int = 2_000
@@ -122,16 +128,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """One change of one node.
+    """One change to one node.
 
     Attributes:
-        change_id: the same id again is the same change.
+        change_id: identity of the change; a retry that carries the same id is not
+            applied a second time.
         path: the node, such as ``/chat-core/chat1``.
         expected_version: version of the node that the operator has seen; 0 for
             a node that does not exist.
         overrides: the node's whole new set of overrides; None deletes the node.
-            A secret may be given as kept, see ``redact``.
-        author: who asks; not part of the change's identity.
+            A masked secret keeps a value that is already stored, see
+            ``redaction``.
+        author: who requested it; not part of the change's identity.
     """
 
     change_id: str
@@ -146,7 +154,7 @@
     """A change that took effect.
 
     Attributes:
-        version: the node's version since then; a deletion counts as one too.
+        version: the node's version after the change; a deletion increments it too.
         index: log index at which it took effect.
     """
 
@@ -160,7 +168,7 @@
     """A change that had no effect.
 
     Attributes:
-        message: names path and reason for each bad value; holds no values.
+        message: path and reason for each invalid value, without the values.
         current_version: the node's version, 0 when there is no node.
     """
 
@@ -171,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainedValue:
-    """One value in force and the node it comes from.
+    """One effective value and the node that sets it.
 
     Attributes:
         key: name of the setting; ``statements.NAME`` for one statement.
@@ -191,7 +199,7 @@
     Attributes:
         index: index of the change in the replicated log.
         version: version of the node that the change made.
-        overrides: the node's overrides since then, None for a deletion.
+        overrides: the node's overrides after the change, None for a deletion.
     """
 
     index: int
--- a/packages/settings/src/dogwoodspool_settings/node_store.py
+++ b/packages/settings/src/dogwoodspool_settings/node_store.py
@@ -1,4 +1,4 @@
-"""The nodes of the tree with the look-ups that changes need."""
+"""Storage of the tree's nodes with the lookups that changes need."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -21,11 +21,11 @@
 
 
 class NodeStore:
-    """Hold nodes by path, with children and groups kept as indexes.
+    """Store nodes by path, with indexes of children and groups.
 
-    The root always exists. Versions of deleted nodes are remembered for good, so
-    that a node created again goes on counting and an old expected version can
-    never match a new node.
+    The root always exists. The last versions of deleted nodes are kept permanently,
+    so that a node created again continues its version count and an outdated expected
+    version can never match a new node.
     """
 
     def __init__(self) -> None:
@@ -42,8 +42,8 @@
 
     def all(self) -> list[StoredNode]:
         """Return all nodes, ordered by path."""
-        # A copy first: a node may be deleted while another thread lists them. The
-        # copy is one step of the interpreter.
+        # Copy first: a node may be deleted while another thread lists them. The copy
+        # is one step of the interpreter, which no other thread can interrupt.
         nodes = list(self._nodes.values())
         return sorted(nodes, key=lambda node: node.path)
 
@@ -57,7 +57,7 @@
         return node.version if node else ABSENT_VERSION
 
     def next_version_of(self, path: str) -> int:
-        """Return the version that the next change of a path makes."""
+        """Return the version that the next change to a path creates."""
         return max(self.version_of(path), self._deleted_versions.get(path, 0)) + 1
 
     def children_of(self, path: str) -> list[StoredNode]:
@@ -69,7 +69,7 @@
         return self._groups.get(group)
 
     def layers_of(self, path: str) -> list[Layer]:
-        """Return the layers of the nodes that exist from the root to a path."""
+        """Return the layers of the existing nodes from the root down to a path."""
         found = (self._nodes.get(step) for step in lineage_of(path))
         return [Layer(node.path, node.overrides) for node in found if node]
 
@@ -84,7 +84,7 @@
             self._groups[split_path(node.path)[-1]] = node.path
 
     def remove(self, path: str, version: int) -> None:
-        """Remove a node that has no children and remember its last version."""
+        """Remove a node that has no children and keep its last version."""
         del self._nodes[path]
         self._deleted_versions[path] = version
         self._children[parent_of(path)].discard(path)
@@ -92,19 +92,19 @@
         if level_of(path) is Level.GROUP:
             del self._groups[split_path(path)[-1]]
 
-    def remember_deleted(self, versions: Mapping[str, int]) -> None:
-        """Take over the last versions of nodes that no longer exist."""
+    def add_deleted_versions(self, versions: Mapping[str, int]) -> None:
+        """Add the last versions of nodes that no longer exist."""
         self._deleted_versions.update(versions)
 
     def copy(self) -> "NodeStore":
-        """Return a store of its own with the same nodes."""
+        """Return an independent store with the same nodes."""
         store = NodeStore.of(self._nodes.values())
-        store.remember_deleted(self._deleted_versions)
+        store.add_deleted_versions(self._deleted_versions)
         return store
 
     @classmethod
     def of(cls, nodes: Iterable[StoredNode]) -> "NodeStore":
-        """Build a store of given nodes."""
+        """Build a store of the given nodes."""
         store = cls()
         for node in nodes:
             store.put(node)
--- a/packages/settings/src/dogwoodspool_settings/overrides.py
+++ b/packages/settings/src/dogwoodspool_settings/overrides.py
@@ -1,4 +1,4 @@
-"""The validated model of one node's overrides and its bounds."""
+"""The model that validates one node's overrides, with their bounds."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, fields
@@ -20,7 +20,7 @@
 DEFAULTS: Final = EffectiveSettings()
 _STATEMENT_DEFAULTS: Final = DEFAULTS.statements
 
-FORMS: Final = {
+VALUE_FORMATS: Final = {
     CONF_TOKEN_KEY: f"hexadecimal of at least {MIN_TOKEN_KEY_BYTES} bytes",
     CONF_USERS: "names with password hashes of 40 hexadecimal digits",
 }
@@ -30,7 +30,7 @@
 
 
 class StatementOverrides(BaseModel):
-    """Statements that a node overrides; each is inherited by itself."""
+    """Statements that a node overrides; each is inherited separately."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -42,11 +42,11 @@
 
 
 class Overrides(BaseModel):
-    """What one node may override; fields that are not given are inherited.
+    """What one node may override; fields that are not set are inherited.
 
-    Field defaults are the built-in values, so that a given ``null`` is refused
-    wherever it has no meaning. Numbers and flags are strict: a text such as
-    ``"300"`` is refused, because a quoted number in a declaration is a mistake.
+    Field defaults are the built-in values, so that an explicit ``null`` is rejected
+    wherever it has no meaning. Numbers and flags are strict: a string such as
+    ``"300"`` is rejected, because a quoted number in a declaration is a mistake.
     """
 
     model_config = ConfigDict(
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrossFieldRule:
-    """A rule that the effective values of each node must keep.
+    """A rule that the effective values of each node must satisfy.
 
     Attributes:
         text: the rule, as a rejection states it.
@@ -117,17 +117,17 @@
 CROSS_FIELD_RULES: Final = (
     CrossFieldRule(
         "renew_interval_ms * 2 must be below lease_ms",
-        "one lost renewal would let every grant run out",
+        "one lost renewal would let every grant expire",
         lambda values: values.renew_interval_ms * 2 < values.lease_ms,
     ),
     CrossFieldRule(
         "release_drain_ms must be below lease_ms",
-        "giving up a grant by answer would take longer than waiting it out",
+        "waiting for a grant's release would take longer than letting it expire",
         lambda values: values.release_drain_ms < values.lease_ms,
     ),
     CrossFieldRule(
         "probe_interval_ms + probe_timeout_ms must be at most failure_detect_ms",
-        "a server would count as failed before a probe had time to fail",
+        "a server would be considered failed before a probe could time out",
         lambda values: (
             values.probe_interval_ms + values.probe_timeout_ms
             <= values.failure_detect_ms
@@ -135,7 +135,7 @@
     ),
     CrossFieldRule(
         "replica_wait_ms must be below deadline_ms",
-        "nothing of the deadline would be left for reading from the primary",
+        "no time before the deadline would be left for reading from the primary",
         lambda values: values.replica_wait_ms < values.deadline_ms,
     ),
 )
@@ -144,25 +144,25 @@
 def validate_overrides(
     raw: Mapping[str, Any], level: Level
 ) -> tuple[dict[str, Any], list[str]]:
-    """Return the overrides in their stored form, and one line per bad value.
+    """Return the overrides in their stored form, and one line per invalid value.
 
-    The lines hold key and reason, never a value.
+    The lines contain key and reason, never a value.
     """
     try:
         model = Overrides.model_validate(dict(raw))
     except ValidationError as error:
-        return {}, [_line(detail) for detail in _details(error)]
-    problems = _misplaced(raw, level)
+        return {}, [_problem_line(detail) for detail in _error_details(error)]
+    problems = _level_problems(raw, level)
     return model.model_dump(mode="json", exclude_unset=True), problems
 
 
 def cross_field_problems(values: EffectiveSettings) -> list[str]:
-    """Return one line per pair of effective values that cannot work together."""
+    """Return one line per cross-field rule that the effective values violate."""
     return [rule.text for rule in CROSS_FIELD_RULES if not rule.holds(values)]
 
 
 def statement_names() -> tuple[str, ...]:
-    """Return the names of the statements on backend servers."""
+    """Return the names of the statements sent to backend servers."""
     return tuple(field.name for field in fields(Statements))
 
 
@@ -171,22 +171,22 @@
     return tuple(field.name for field in fields(EffectiveSettings))
 
 
-def _details(error: ValidationError) -> list[Any]:
+def _error_details(error: ValidationError) -> list[Any]:
     return error.errors(include_url=False, include_input=False, include_context=False)
 
 
-def _line(detail: Any) -> str:
+def _problem_line(detail: Any) -> str:
     key = ".".join(str(part) for part in detail["loc"])
     reason = detail["msg"]
     if detail["type"] == "extra_forbidden":
         reason = "there is no such setting"
     elif detail["type"] == "string_pattern_mismatch":
-        # The stock text quotes the pattern, which tells an operator little.
-        reason = f"must be {FORMS[detail['loc'][0]]}"
+        # Pydantic's own text quotes the pattern, which tells an operator little.
+        reason = f"must be {VALUE_FORMATS[detail['loc'][0]]}"
     return f"{key}: {reason}"
 
 
-def _misplaced(raw: Mapping[str, Any], level: Level) -> list[str]:
+def _level_problems(raw: Mapping[str, Any], level: Level) -> list[str]:
     problems = []
     for key in raw:
         if key in ROOT_ONLY_KEYS and level is not Level.ROOT:
--- a/packages/settings/src/dogwoodspool_settings/paths.py
+++ b/packages/settings/src/dogwoodspool_settings/paths.py
@@ -1,4 +1,4 @@
-"""Paths of nodes: ``/``, ``/service``, ``/service/group`` and one level more."""
+"""Node paths, from ``/`` down to ``/service/group/failure_domain``."""
 
 import re
 from typing import Final
@@ -9,7 +9,7 @@
 from .errors import InvalidPathError
 
 # No leading dot: a name is also a file name in declarations, where dot files
-# are left out.
+# are skipped.
 _NAME: Final = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9._-]*")
 
 
@@ -17,7 +17,7 @@
     """Return the names in a path.
 
     Raises:
-        InvalidPathError: the text is no path of the tree's four levels.
+        InvalidPathError: the text is not a valid path of the tree's four levels.
 
     Example:
         >>> split_path("/chat-core/chat1")
@@ -37,7 +37,7 @@
 
 
 def join_path(*names: str) -> str:
-    """Return the path of some names.
+    """Return the path that consists of the given names.
 
     Example:
         >>> join_path("chat-core", "chat1")
@@ -47,17 +47,17 @@
 
 
 def level_of(path: str) -> Level:
-    """Return the level of a path; raise ``InvalidPathError`` for a bad one."""
+    """Return the level of a path; raise ``InvalidPathError`` for an invalid one."""
     return Level(len(split_path(path)))
 
 
 def parent_of(path: str) -> str:
-    """Return the path one level up; the root's parent is the root."""
+    """Return the path one level up; the root is its own parent."""
     return join_path(*split_path(path)[:-1])
 
 
 def lineage_of(path: str) -> tuple[str, ...]:
-    """Return the paths from the root down to this one.
+    """Return the paths from the root down to and including this one.
 
     Example:
         >>> lineage_of("/chat-core/chat1")
--- a/packages/settings/src/dogwoodspool_settings/planning.py
+++ b/packages/settings/src/dogwoodspool_settings/planning.py
@@ -1,4 +1,4 @@
-"""Compare declared nodes with the nodes in force."""
+"""Compare declared nodes with the current nodes."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedChange:
-    """One change that brings a node to what is declared.
+    """One change that brings a node to its declared state.
 
     Attributes:
-        expected_version: version of the node in force, 0 for a new one.
-        current: overrides in force, secrets redacted.
+        expected_version: version of the current node, 0 for a new one.
+        current: current overrides, secrets redacted.
         overrides: declared overrides with their secrets; None for a deletion.
     """
 
@@ -42,23 +42,25 @@
     current: Iterable[SettingsNode],
     fingerprint_key: bytes | None = None,
 ) -> list[PlannedChange]:
-    """Return the changes that bring the tree to what is declared.
+    """Return the changes that bring the tree to its declared state.
 
     Parents come before their children, and deletions last, the deepest first,
-    so that each change finds its parent and no deletion finds children.
+    so that each node's parent exists and no deleted node has children left.
 
     Args:
         declared: overrides with their secrets, by path.
-        current: the nodes in force, redacted or not.
+        current: the current nodes, redacted or not.
         fingerprint_key: the key that control redacts with; without it a
-            redacted secret in force cannot be compared, and counts as changed.
+            redacted current secret cannot be compared and counts as changed.
     """
-    in_force = {node.path: node for node in current}
+    current_by_path = {node.path: node for node in current}
     changes = [
-        _change(path, overrides, in_force.get(path), fingerprint_key)
+        _change(path, overrides, current_by_path.get(path), fingerprint_key)
         for path, overrides in sorted(declared.items(), key=_depth_and_name)
     ]
-    removed = [in_force[path] for path in in_force if path not in declared]
+    removed = [
+        current_by_path[path] for path in current_by_path if path not in declared
+    ]
     removed.sort(key=lambda node: (-level_of(node.path), node.path))
     deletions = [
         PlannedChange(
--- a/packages/settings/src/dogwoodspool_settings/redaction.py
+++ b/packages/settings/src/dogwoodspool_settings/redaction.py
@@ -1,9 +1,9 @@
-"""Redact secrets in overrides, and put kept secrets back.
+"""Redact secrets in overrides and mark secrets that a change keeps.
 
-A redacted secret reads ``***``. With a key it reads ``***:FINGERPRINT``, so that
-someone who holds the same key and the secret can tell whether they are the same
-without the secret being shown. Sent back in a change, both mean *keep the value
-that the node has*, and ``***@VERSION`` means *take the value that this version of
+A redacted secret is shown as ``***``. With a key it is shown as ``***:FINGERPRINT``,
+so that someone who has the same key and a secret can tell whether the two secrets are
+the same without the stored one being shown. Sent back in a change, both mean *keep the
+value that the node has*, and ``***@VERSION`` means *use the value that this version of
 the node had*.
 """
 
@@ -21,12 +21,12 @@
 
 
 def is_masked(value: Any) -> bool:
-    """Tell whether a value stands for a secret that is not shown."""
+    """Return whether a value is a mask in place of a secret."""
     return isinstance(value, str) and _MASKED.fullmatch(value) is not None
 
 
 def masked_version(value: str) -> int | None:
-    """Return the version that a masked value refers to; None for the current."""
+    """Return the version that a mask refers to; None for the current one."""
     match = _MASKED.fullmatch(value)
     if match is None or match["version"] is None:
         return None
@@ -38,8 +38,8 @@
 
     Args:
         overrides: overrides of one node.
-        key: key of the fingerprints, the shared key of the system: without it
-            a fingerprint tells nothing about a weak password.
+        key: key of the fingerprints, the shared key of the system: without this
+            key, guesses of a weak password cannot be tested against a fingerprint.
 
     Example:
         >>> redact({"deadline_ms": 800, "backend_password": "geheim"})
@@ -61,7 +61,7 @@
 def map_secrets(
     overrides: Mapping[str, Any], replace: Callable[[str, Any], Any]
 ) -> dict[str, Any]:
-    """Return a copy in which each secret went through a function.
+    """Return a copy in which a function has replaced each secret.
 
     Args:
         overrides: overrides of one node.
--- a/packages/settings/src/dogwoodspool_settings/secret_sources.py
+++ b/packages/settings/src/dogwoodspool_settings/secret_sources.py
@@ -1,4 +1,4 @@
-"""Where a declaration's secret comes from, so that no file has to hold it."""
+"""Sources of secrets, so that no declaration file has to contain them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class SourceKind(StrEnum):
-    """The kinds of places that a secret is read from."""
+    """Kinds of sources that a secret is read from."""
 
     FILE = "file"
     ENV = "env"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SecretSource:
-    """A file or an environment variable that holds one secret.
+    """A file or an environment variable that contains one secret.
 
     Attributes:
         name: path of the file, or name of the variable.
@@ -30,7 +30,7 @@
 def split_secret_sources(
     overrides: Mapping[str, Any],
 ) -> tuple[dict[str, Any], dict[str, SecretSource]]:
-    """Separate secrets given by their source from the rest of the overrides.
+    """Separate secrets that name a source from the rest of the overrides.
 
     Returns:
         The overrides without those secrets, and the sources by the secret's
@@ -38,14 +38,14 @@
     """
     sources: dict[str, SecretSource] = {}
 
-    def take(name: str, value: Any) -> Any:
+    def extract_source(name: str, value: Any) -> Any:
         source = _parse(value)
         if source is None:
             return value
         sources[name] = source
         return source
 
-    marked = map_secrets(overrides, take)
+    marked = map_secrets(overrides, extract_source)
     rest = {key: value for key, value in marked.items() if key not in sources}
     return _without_sourced_users(rest, sources), sources
 
@@ -53,7 +53,7 @@
 def with_secrets(
     overrides: Mapping[str, Any], secrets: Mapping[str, str]
 ) -> dict[str, Any]:
-    """Return overrides with the values of their secrets put in.
+    """Return overrides with the values of their secrets filled in.
 
     Args:
         overrides: overrides without the secrets.
--- a/packages/settings/src/dogwoodspool_settings/snapshot.py
+++ b/packages/settings/src/dogwoodspool_settings/snapshot.py
@@ -1,4 +1,4 @@
-"""The validated form in which a settings tree is kept in snapshots."""
+"""Validated models of a settings tree's snapshot."""
 
 from typing import Any, Literal, Self
 
@@ -6,7 +6,7 @@
 from expression import Error, Ok
 from pydantic import ValidationError
 
-from .answers import ChangeAnswer, RememberedAnswer
+from .answers import ChangeAnswer, RecordedAnswer
 from .const import SNAPSHOT_FORMAT
 from .errors import SnapshotError
 from .models import ChangeAccepted, ChangeRejected, HistoryEntry, RejectionCode
@@ -24,7 +24,7 @@
 
     @classmethod
     def of(cls, entry: HistoryEntry) -> Self:
-        """Build the stored form of an entry."""
+        """Build the stored form of a history entry."""
         return cls(
             index=entry.index,
             change_id=entry.change_id,
@@ -35,7 +35,7 @@
         )
 
     def value(self) -> HistoryEntry:
-        """Return the inner value."""
+        """Return the history entry."""
         return HistoryEntry(
             self.index,
             self.change_id,
@@ -47,7 +47,7 @@
 
 
 class StoredAnswer(Message):
-    """One remembered answer; ``code`` is None for an accepted change."""
+    """One recorded answer; ``code`` is None for an accepted change."""
 
     change_id: str
     digest: str
@@ -58,33 +58,33 @@
     message: str = ""
 
     @classmethod
-    def of(cls, remembered: RememberedAnswer) -> Self:
-        """Build the stored form of an answer."""
-        answer = remembered.answer
+    def of(cls, recorded: RecordedAnswer) -> Self:
+        """Build the stored form of a recorded answer."""
+        answer = recorded.answer
         if answer.is_ok():
             return cls(
-                change_id=remembered.change_id,
-                digest=remembered.digest,
+                change_id=recorded.change_id,
+                digest=recorded.digest,
                 path=answer.ok.path,
                 version=answer.ok.version,
                 index=answer.ok.index,
             )
         return cls(
-            change_id=remembered.change_id,
-            digest=remembered.digest,
+            change_id=recorded.change_id,
+            digest=recorded.digest,
             version=answer.error.current_version,
             code=answer.error.code,
             message=answer.error.message,
         )
 
-    def value(self) -> RememberedAnswer:
-        """Return the inner value."""
+    def value(self) -> RecordedAnswer:
+        """Return the recorded answer."""
         answer: ChangeAnswer
         if self.code is None:
             answer = Ok(ChangeAccepted(self.path, self.version, self.index))
         else:
             answer = Error(ChangeRejected(self.code, self.message, self.version))
-        return RememberedAnswer(self.change_id, self.digest, answer)
+        return RecordedAnswer(self.change_id, self.digest, answer)
 
 
 class TreeSnapshot(Message):
@@ -99,7 +99,7 @@
 
     @classmethod
     def parse(cls, content: dict[str, Any]) -> Self:
-        """Validate a snapshot; raise ``SnapshotError`` when it cannot be used."""
+        """Validate a snapshot; raise ``SnapshotError`` for an invalid one."""
         try:
             return cls.model_validate(content)
         except ValidationError as error:
--- a/packages/settings/src/dogwoodspool_settings/tree.py
+++ b/packages/settings/src/dogwoodspool_settings/tree.py
@@ -6,7 +6,7 @@
 from dogwoodspool_api import SettingsNode
 from expression import Error, Ok, Result
 
-from .answers import AnswerMemory, ChangeAnswer, RememberedAnswer, content_digest
+from .answers import AnswerMemory, ChangeAnswer, RecordedAnswer, content_digest
 from .change_check import ChangeCheck
 from .change_history import ChangeHistory
 from .const import RETAINED_CHANGE_IDS, RETAINED_HISTORY, ROOT_PATH
@@ -27,12 +27,12 @@
 
 
 class SettingsTree:
-    """Hold the tree, decide changes and give the values in force.
+    """Store the tree, validate and apply changes, and return effective settings.
 
-    Every decision depends only on the changes applied before, so that all voters
-    that apply the same log hold the same tree. One thread at a time applies
-    changes and takes or restores snapshots; every other read may be called from
-    any thread meanwhile.
+    Whether a change is accepted depends only on the changes applied before it, so
+    that all voters that apply the same log have the same tree. Only one thread at a
+    time may apply changes and take or restore snapshots; every other read may be
+    called from any thread meanwhile.
 
     Example:
         >>> tree = SettingsTree()
@@ -63,44 +63,45 @@
         return self._version
 
     def apply(self, change: SettingsChange, index: int) -> ChangeAnswer:
-        """Decide one change and let it take effect when it is accepted.
+        """Validate one change and apply it if it is accepted.
 
-        Every answer is remembered, rejections too: a delayed copy of a rejected
+        Every answer is recorded, including rejections: a delayed copy of a rejected
         change must not take effect after its operator was told that it did not.
 
         Args:
-            change: the change as it stands in the replicated log.
+            change: the change as stored in the replicated log.
             index: index of its log entry.
 
         Raises:
-            ReadOnlyTreeError: the tree mirrors another one.
+            ReadOnlyTreeError: the tree is a read-only mirror of another one.
         """
         if self._is_read_only:
-            raise ReadOnlyTreeError("this settings tree only follows control")
+            raise ReadOnlyTreeError("settings tree is a read-only mirror of control's")
         digest = content_digest(change)
-        remembered = self._answers.get(change.change_id)
-        if remembered is not None:
-            return self._answer_again(remembered, digest, change.path)
+        recorded = self._answers.get(change.change_id)
+        if recorded is not None:
+            return self._repeat_answer(recorded, digest, change.path)
         check = ChangeCheck(self._nodes, self._history)
         answer = check.check(change).map(
             lambda overrides: self._accept(change, overrides, index)
         )
-        self._answers.remember(RememberedAnswer(change.change_id, digest, answer))
+        self._answers.add(RecordedAnswer(change.change_id, digest, answer))
         return answer
 
     def apply_together(
         self, changes: Iterable[SettingsChange], index: int
     ) -> Result[int, ChangeRejected]:
-        """Let several changes take effect in one step, or none of them.
+        """Apply several changes atomically.
 
-        A reader sees all of them or none. Answers are not remembered: whoever
-        sends such a set again knows it by a revision of its own.
+        Either all of them take effect or none, and a reader sees all or none. Answers
+        are not recorded: a sender that repeats such a set identifies it by a revision
+        of its own.
 
         Returns:
             The number of changes that took effect.
         """
         if self._is_read_only:
-            raise ReadOnlyTreeError("this settings tree only follows control")
+            raise ReadOnlyTreeError("settings tree is a read-only mirror of control's")
         draft = SettingsTree(self._retained_change_ids, self._retained_history)
         draft._nodes = self._nodes.copy()
         draft._history = ChangeHistory(self._retained_history, self._history.all())
@@ -120,13 +121,13 @@
     def effective(
         self, group: str | None, failure_domain: str | None
     ) -> EffectiveSettings:
-        """Return the values in force for a database group in a failure domain.
+        """Return the effective settings of a database group in a failure domain.
 
         An unknown group has the root's values, and a failure domain without a
         node of its own has the group's.
         """
-        # A reader that began before a change writes into the cache of that time,
-        # which no later reader sees: `_accept` puts a new one in place last.
+        # A reader that started before a change fills the cache object it took here,
+        # which no later reader sees: `_accept` replaces that object as its last step.
         cache = self._effective
         path = self._nearest_path(group, failure_domain)
         values = cache.get(path)
@@ -136,14 +137,14 @@
         return values
 
     def has_group(self, group: str) -> bool:
-        """Tell whether a database group has a node."""
+        """Return whether a database group has a node."""
         return self._nodes.path_of_group(group) is not None
 
     def explain(self, path: str) -> list[ExplainedValue]:
-        """Return each value in force at a node with where it comes from.
+        """Return each effective value at a node with the path that sets it.
 
         Raises:
-            InvalidPathError: the path cannot be one of a node.
+            InvalidPathError: the path is not a valid node path.
             UnknownNodeError: there is no such node.
         """
         level_of(path)
@@ -161,7 +162,7 @@
         ]
 
     def history(self, limit: int, path: str | None = None) -> list[HistoryEntry]:
-        """Return the latest accepted changes, the newest first, redacted."""
+        """Return the latest accepted changes, newest first and redacted."""
         return self._history.latest(limit, path)
 
     def snapshot(self) -> dict[str, Any]:
@@ -175,13 +176,17 @@
         ).model_dump(mode="json")
 
     def restore(self, snapshot: dict[str, Any]) -> None:
-        """Replace the whole state; raise ``SnapshotError`` and change nothing."""
+        """Replace the whole state.
+
+        Raises:
+            SnapshotError: the snapshot is invalid; the state is unchanged.
+        """
         state = TreeSnapshot.parse(snapshot)
-        nodes = _store_of(state.nodes)
-        nodes.remember_deleted(state.deleted_versions)
+        nodes = _build_store(state.nodes)
+        nodes.add_deleted_versions(state.deleted_versions)
         answers = AnswerMemory(self._retained_change_ids)
         for answer in state.answers:
-            answers.remember(answer.value())
+            answers.add(answer.value())
         entries = (entry.value() for entry in state.history)
         self._nodes = nodes
         self._answers = answers
@@ -191,7 +196,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: dict[str, Any]) -> Self:
-        """Build a tree from a snapshot; raise ``SnapshotError`` for a bad one."""
+        """Build a tree from a snapshot; raise ``SnapshotError`` for an invalid one."""
         tree = cls()
         tree.restore(snapshot)
         return tree
@@ -200,15 +205,15 @@
     def from_nodes(cls, nodes: Iterable[SettingsNode]) -> Self:
         """Build a read-only tree from the nodes that control has committed."""
         tree = cls()
-        tree._nodes = _store_of(nodes)
+        tree._nodes = _build_store(nodes)
         tree._is_read_only = True
         return tree
 
-    def _answer_again(
-        self, remembered: RememberedAnswer, digest: str, path: str
+    def _repeat_answer(
+        self, recorded: RecordedAnswer, digest: str, path: str
     ) -> ChangeAnswer:
-        if remembered.digest == digest:
-            return remembered.answer
+        if recorded.digest == digest:
+            return recorded.answer
         return Error(
             ChangeRejected(
                 RejectionCode.CHANGE_ID_REUSED,
@@ -244,7 +249,7 @@
         return own if self._nodes.get(own) else path
 
 
-def _store_of(nodes: Iterable[SettingsNode]) -> NodeStore:
+def _build_store(nodes: Iterable[SettingsNode]) -> NodeStore:
     return NodeStore.of(
         StoredNode(node.path, node.version, node.overrides) for node in nodes
     )
--- a/packages/settings/src/dogwoodspool_settings/yaml_file.py
+++ b/packages/settings/src/dogwoodspool_settings/yaml_file.py
@@ -9,16 +9,16 @@
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """A safe loader that refuses a key given twice.
+    """A safe loader that rejects a key given twice.
 
-    The stock loader keeps the last of the two without a word, so that a value
-    that the reviewer of a declaration saw would not be the one in force.
+    PyYAML's safe loader silently keeps the last of the two, so that the value that
+    the reviewer of a declaration saw might not be the one that takes effect.
     """
 
     def construct_mapping(
         self, node: yaml.MappingNode, deep: bool = False
     ) -> dict[Any, Any]:
-        """Build a mapping; raise when a key stands in it twice."""
+        """Build a mapping; raise when a key occurs in it twice."""
         seen = set()
         for key_node, _ in node.value:
             key = key_node.value
@@ -35,7 +35,7 @@
     """Return the mapping in a file; an empty file is an empty mapping.
 
     Raises:
-        DeclarationError: the file cannot be read or holds no mapping.
+        DeclarationError: the file cannot be read or contains no mapping.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -50,7 +50,9 @@
     if content is None:
         return {}
     if not isinstance(content, dict):
-        raise DeclarationError(str(path), "", "it does not hold a mapping of settings")
+        raise DeclarationError(
+            str(path), "", "it does not contain a mapping of settings"
+        )
     for key in content:
         if not isinstance(key, str):
             raise DeclarationError(str(path), str(key), "the key is not text")
@@ -58,7 +60,7 @@
 
 
 def _reason(error: yaml.YAMLError) -> str:
-    # The error's own text quotes the file, which may hold a secret.
+    # The error's own text quotes the file, which may contain a secret.
     if not isinstance(error, yaml.MarkedYAMLError) or error.problem_mark is None:
-        return "it is not YAML"
+        return "it is not valid YAML"
     return f"line {error.problem_mark.line + 1}: {error.problem}"
--- a/tests/settings/test_declarations.py
+++ b/tests/settings/test_declarations.py
@@ -1,4 +1,4 @@
-"""Tests of declarations in files and of the plan made from them."""
+"""Tests of declaration files and of the plans made from them."""
 
 import tempfile
 import unittest
@@ -24,8 +24,8 @@
 HASH = "A4B6157319038724E3560894F7F932C8886EBFCF"
 
 
-class FolderCase(unittest.TestCase):
-    """Write files into a folder of its own."""
+class FolderTestCase(unittest.TestCase):
+    """Write declaration files into a temporary folder."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -39,10 +39,10 @@
             file.write_text(text)
 
 
-class LoadTests(FolderCase):
-    """A fault in a file is told by file, key and reason, never by value."""
+class LoadTests(FolderTestCase):
+    """An error names file, key and reason, but never a value, which may be secret."""
 
-    def test_faults(self) -> None:
+    def test_invalid_declarations(self) -> None:
         group = {"root.yaml": "", "s/service.yaml": "", "s/g/group.yaml": ""}
         cases: tuple[tuple[dict[str, str], str, str, str], ...] = (
             ({}, "root.yaml", "", "missing"),
@@ -87,9 +87,9 @@
 
 
 class PlanTests(unittest.TestCase):
-    """A plan can be applied in its order, and a second one is empty."""
+    """A plan applies in its own order, and a second plan is then empty."""
 
-    def apply(
+    def apply_plan(
         self, tree: SettingsTree, declared: dict[str, dict[str, Any]]
     ) -> list[str]:
         steps = []
@@ -117,16 +117,17 @@
             "/": {},
         }
         self.assertEqual(
-            self.apply(tree, first), ["create /z", "create /z/g1", "create /z/g1/a"]
+            self.apply_plan(tree, first),
+            ["create /z", "create /z/g1", "create /z/g1/a"],
         )
-        self.assertEqual(self.apply(tree, first), [])
+        self.assertEqual(self.apply_plan(tree, first), [])
         second: dict[str, dict[str, Any]] = {
             "/a/g2": {},
             "/a": {},
             "/": {"queue_limit": 9},
         }
         self.assertEqual(
-            self.apply(tree, second),
+            self.apply_plan(tree, second),
             [
                 "update /",
                 "create /a",
@@ -136,7 +137,7 @@
                 "delete /z",
             ],
         )
-        self.assertEqual(self.apply(tree, second), [])
+        self.assertEqual(self.apply_plan(tree, second), [])
 
     def test_redacted_secrets_are_compared_by_fingerprint(self) -> None:
         shown = redact(SECRETS, FINGERPRINT_KEY)
@@ -150,7 +151,7 @@
 
 
 class ExampleTests(unittest.TestCase):
-    """The declarations of both users load, and the whole tree is accepted."""
+    """The example declarations load, and the tree accepts all of them."""
 
     def test_examples_are_accepted(self) -> None:
         for user, groups, deadline in (
@@ -160,19 +161,19 @@
             with self.subTest(user=user):
                 tree = SettingsTree()
                 nodes = load_declarations(ROOT / "examples" / user)
-                declared = {node.path: self.filled(node) for node in nodes}
-                PlanTests().apply(tree, declared)
+                declared = {node.path: self.with_test_secrets(node) for node in nodes}
+                PlanTests().apply_plan(tree, declared)
                 self.assertEqual(len(tree.nodes()), 2 + len(groups) * 5)
                 for group in groups:
                     self.assertEqual(tree.effective(group, None).deadline_ms, deadline)
 
-    def filled(self, node: Any) -> dict[str, Any]:
+    def with_test_secrets(self, node: Any) -> dict[str, Any]:
         secrets = {name: SECRETS.get(name, HASH) for name in node.secret_sources}
         return with_secrets(node.overrides, secrets)
 
 
 class SettingsPageTests(unittest.TestCase):
-    """The committed page says what the model says."""
+    """The committed settings page matches the model."""
 
     def test_page_is_current(self) -> None:
         page = (ROOT / "docs" / "SETTINGS.md").read_text()
--- a/tests/settings/test_tree.py
+++ b/tests/settings/test_tree.py
@@ -1,4 +1,4 @@
-"""Tests of the settings tree's rules that have one answer."""
+"""Example-based tests of the settings tree's rules."""
 
 import json
 import unittest
@@ -24,20 +24,20 @@
 HASH = "A4B6157319038724E3560894F7F932C8886EBFCF"
 
 
-class TreeCase(unittest.TestCase):
-    """Send changes to a tree with the version that it has."""
+class TreeTestCase(unittest.TestCase):
+    """Send changes that expect the current version of their node."""
 
     def setUp(self) -> None:
         self.tree = SettingsTree()
-        self.count = 0
+        self.change_count = 0
 
     def send(self, path: str, overrides: dict[str, Any] | None) -> ChangeAnswer:
         versions = {node.path: node.version for node in self.tree.nodes()}
-        self.count += 1
+        self.change_count += 1
         change = SettingsChange(
-            f"c{self.count}", path, versions.get(path, 0), overrides, "ana"
+            f"c{self.change_count}", path, versions.get(path, 0), overrides, "ana"
         )
-        return self.tree.apply(change, self.count)
+        return self.tree.apply(change, self.change_count)
 
     def accept(self, path: str, overrides: dict[str, Any] | None = None) -> int:
         answer = self.send(path, {} if overrides is None else overrides)
@@ -54,8 +54,8 @@
             self.accept(path)
 
 
-class InheritanceTests(TreeCase):
-    """Each level overrides only what it must."""
+class InheritanceTests(TreeTestCase):
+    """Each value comes from the nearest node that overrides it."""
 
     def test_nearest_node_gives_the_value(self) -> None:
         self.accept_group()
@@ -82,7 +82,7 @@
         self.assertEqual(found["statements.wait"].from_path, "/chat")
         self.assertEqual(found["statements.fence"].from_path, FROM_DEFAULT)
 
-    def test_mirror_at_a_proxy_gives_the_same_values_and_takes_no_change(self) -> None:
+    def test_read_only_mirror_has_the_same_values_and_rejects_changes(self) -> None:
         self.accept_group()
         self.accept("/chat/g1", {"deadline_ms": 321})
         mirror = SettingsTree.from_nodes(self.tree.nodes())
@@ -91,10 +91,10 @@
             mirror.apply(SettingsChange("c", "/", 0, {}, "ana"), 1)
 
 
-class ValidationTests(TreeCase):
-    """A rejection names path and reason for each bad value."""
+class ValidationTests(TreeTestCase):
+    """A rejection names path and reason for each invalid value."""
 
-    def test_each_bad_value_has_its_reason(self) -> None:
+    def test_each_invalid_value_has_its_reason(self) -> None:
         rejected = self.reject(
             "/",
             {
@@ -118,10 +118,10 @@
         )
 
     def test_values_are_checked_together_at_every_node_below(self) -> None:
-        """A change above that breaks a node below is told with that node's path.
+        """A change that makes a node below it invalid is rejected with that path.
 
-        Else the group would wait for a replica past its callers' deadline from
-        the moment the root changed, though nobody touched the group.
+        Otherwise a change at the root could make a group wait for a replica past its
+        callers' deadline, although the group's own node did not change.
         """
         self.accept_group()
         self.accept("/chat/g1/a", {"replica_wait_ms": 400})
@@ -132,14 +132,14 @@
         self.assertIn("/: renew_interval_ms * 2 must be below", rejected.message)
         self.assertEqual(self.tree.effective("g1", "a").deadline_ms, 2_000)
 
-    def test_keys_that_must_be_shared_are_refused_below(self) -> None:
+    def test_keys_that_must_be_shared_are_rejected_below(self) -> None:
         self.accept_group()
         self.assertIn("lease_ms", self.reject("/chat", {"lease_ms": 900}).message)
         self.assertIn(
             "write_ack", self.reject("/chat/g1/a", {"write_ack": "primary"}).message
         )
 
-    def test_structure_is_kept(self) -> None:
+    def test_invalid_structure_is_rejected(self) -> None:
         self.accept_group()
         self.accept("/flow")
         for path, overrides, code in (
@@ -155,20 +155,20 @@
                 self.assertEqual(self.reject(path, overrides).code, code)
 
 
-class VersionTests(TreeCase):
-    """Versions only grow and answers are remembered for a stated count."""
+class VersionTests(TreeTestCase):
+    """Versions only increase, and a limited number of answers is retained."""
 
-    def test_created_again_goes_on_counting(self) -> None:
+    def test_recreated_node_continues_its_version_count(self) -> None:
         self.assertEqual(self.accept("/chat"), 1)
         self.assertTrue(self.send("/chat", None).is_ok())
         self.tree = SettingsTree.from_snapshot(self.tree.snapshot())
         self.assertEqual(self.accept("/chat"), 3)
 
     def test_delayed_copy_of_an_invalid_change_stays_rejected(self) -> None:
-        """An operator was told "invalid", yet later the change is in force.
+        """A change that was answered "invalid" must not take effect later.
 
-        The request was sent twice after a timeout; the second copy was refused,
-        the first one arrived after the parent had been changed.
+        A request is sent twice after a timeout: the second copy is rejected, and the
+        first one arrives after a change to the parent that would make it valid.
         """
         self.accept("/", {"deadline_ms": 400})
         change = SettingsChange("x", "/chat", 0, {"replica_wait_ms": 500}, "ben")
@@ -177,7 +177,7 @@
         self.assertEqual(self.tree.apply(change, 52), first)
         self.assertEqual([node.path for node in self.tree.nodes()], ["/"])
 
-    def test_answers_are_forgotten_oldest_first(self) -> None:
+    def test_oldest_answers_are_evicted_first(self) -> None:
         tree = SettingsTree(retained_change_ids=2, retained_history=2)
         changes = [SettingsChange(f"c{n}", "/", n, {}, "ana") for n in range(3)]
         for index, change in enumerate(changes):
@@ -186,7 +186,7 @@
         self.assertEqual(tree.apply(changes[0], 4).error.code, RejectionCode.CONFLICT)
         self.assertEqual([entry.version for entry in tree.history(9)], [3, 2])
 
-    def test_damaged_snapshot_changes_nothing(self) -> None:
+    def test_invalid_snapshot_leaves_the_tree_unchanged(self) -> None:
         self.accept("/chat")
         damaged = self.tree.snapshot()
         damaged["nodes"][0]["version"] = "many"
@@ -195,8 +195,8 @@
         self.assertEqual(len(self.tree.nodes()), 2)
 
 
-class SecretTests(TreeCase):
-    """Secrets stay inside and can be kept without being shown."""
+class SecretTests(TreeTestCase):
+    """Secrets are never shown, and a change can keep them without sending them."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -228,17 +228,17 @@
         self.assertEqual(self.tree.effective(None, None).token_key, TOKEN_KEY)
         self.assertEqual(self.tree.effective(None, None).users, {"shop": HASH})
 
-    def test_rollback_brings_the_secrets_of_that_version_back(self) -> None:
+    def test_rollback_restores_the_secrets_of_that_version(self) -> None:
         self.accept("/", {"backend_password": "new"})
         (first,) = (entry for entry in self.tree.history(9) if entry.version == 1)
         self.accept("/", keep_secrets_of_version(first.overrides or {}, 1))
         self.assertEqual(self.tree.effective(None, None).backend_password, PASSWORD)
 
-    def test_nothing_to_keep_is_told(self) -> None:
+    def test_masked_secret_without_earlier_value_is_rejected(self) -> None:
         rejected = self.reject("/chat", {"users": {"new": "***"}})
         self.assertIn("users.new: there is no earlier value", rejected.message)
 
-    def test_fingerprints_tell_secrets_apart(self) -> None:
+    def test_fingerprints_of_different_secrets_differ(self) -> None:
         other = {**self.secrets, "backend_password": "other"}
         one, two = (redact(values, b"key") for values in (self.secrets, other))
         self.assertNotEqual(one["backend_password"], two["backend_password"])
--- a/tests/settings/test_tree_races.py
+++ b/tests/settings/test_tree_races.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class Oracle:
-    """The tree's rules, written as plainly as possible."""
+    """Reference model of the tree's rules, kept as simple as possible."""
 
     nodes: dict[str, tuple[int, dict[str, int]]] = field(
         default_factory=lambda: {"/": (0, {})}
