--- a/features/mutations/guards/settings.py
+++ b/features/mutations/guards/settings.py
@@ -26,9 +26,9 @@
 
 def change_ids_forgotten() -> None:
     """Decide a change that was sent again as a new one."""
-    from dogwoodspool_settings.answers import AnswerMemory
+    from dogwoodspool_settings.answers import AnswerStore
 
-    AnswerMemory.get = lambda _self, _change_id: None
+    AnswerStore.get = lambda _self, _change_id: None
 
 
 def expected_version_unchecked() -> None:
--- a/packages/settings/src/dogwoodspool_settings/answers.py
+++ b/packages/settings/src/dogwoodspool_settings/answers.py
@@ -25,7 +25,7 @@
     answer: ChangeAnswer
 
 
-class AnswerMemory:
+class AnswerStore:
     """Store the latest answers and evict the oldest first.
 
     Retention is limited by the number of answers and not by time, so that every
--- a/packages/settings/src/dogwoodspool_settings/tree.py
+++ b/packages/settings/src/dogwoodspool_settings/tree.py
@@ -6,7 +6,7 @@
 from dogwoodspool_api import SettingsNode
 from expression import Error, Ok, Result
 
-from .answers import AnswerMemory, ChangeAnswer, RecordedAnswer, content_digest
+from .answers import AnswerStore, ChangeAnswer, RecordedAnswer, content_digest
 from .change_check import ChangeCheck
 from .change_history import ChangeHistory
 from .const import RETAINED_CHANGE_IDS, RETAINED_HISTORY, ROOT_PATH
@@ -51,7 +51,7 @@
         self._retained_change_ids = retained_change_ids
         self._retained_history = retained_history
         self._nodes = NodeStore()
-        self._answers = AnswerMemory(retained_change_ids)
+        self._answers = AnswerStore(retained_change_ids)
         self._history = ChangeHistory(retained_history)
         self._effective: dict[str, EffectiveSettings] = {}
         self._version = 0
@@ -184,7 +184,7 @@
         state = TreeSnapshot.parse(snapshot)
         nodes = _build_store(state.nodes)
         nodes.add_deleted_versions(state.deleted_versions)
-        answers = AnswerMemory(self._retained_change_ids)
+        answers = AnswerStore(self._retained_change_ids)
         for answer in state.answers:
             answers.add(answer.value())
         entries = (entry.value() for entry in state.history)
