--- a/packages/api/src/dogwoodspool_api/__init__.py
+++ b/packages/api/src/dogwoodspool_api/__init__.py
@@ -1,4 +1,4 @@
-"""Messages and endpoint paths between the system's processes."""
+"""Messages and HTTP endpoint paths used between the system's processes."""
 
 from . import const
 from .models import (
--- a/packages/api/src/dogwoodspool_api/const.py
+++ b/packages/api/src/dogwoodspool_api/const.py
@@ -1,4 +1,4 @@
-"""Paths of the endpoints between the system's processes."""
+"""Paths and query parameters of the HTTP endpoints between the processes."""
 
 from typing import Final
 
--- a/packages/api/src/dogwoodspool_api/models.py
+++ b/packages/api/src/dogwoodspool_api/models.py
@@ -1,4 +1,4 @@
-"""Validated messages between the system's processes."""
+"""Validated messages exchanged between the system's processes."""
 
 from typing import Annotated, Any, Self
 
@@ -24,7 +24,7 @@
 
 
 class Message(BaseModel):
-    """Base of all messages: unknown fields are refused, values do not change."""
+    """Base of all messages: unknown fields are rejected, instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -37,19 +37,19 @@
 
     @classmethod
     def of(cls, position: Position) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from a position."""
         return cls(term=position.term, offset=position.offset)
 
     def value(self) -> Position:
-        """Return the inner value."""
+        """Return the position that the message describes."""
         return Position(self.term, self.offset)
 
 
-class DescribedServer(Message):
-    """What a backend server is, in every message that describes one.
+class ServerDescription(Message):
+    """Description of a backend server, shared by all messages about one.
 
     Attributes:
-        connections: those that it takes; 0 where only the settings tell.
+        connections: number that it accepts; 0 when only the settings define it.
     """
 
     server: Name
@@ -63,7 +63,7 @@
     is_gone: bool = False
 
     def backend_server(self) -> BackendServer:
-        """Return the inner value."""
+        """Return the backend server that the message describes."""
         return BackendServer(
             name=self.server,
             group=self.group,
@@ -77,15 +77,15 @@
         )
 
 
-class Announcement(DescribedServer):
-    """What a backend server tells the entry instances of its failure domain."""
+class Announcement(ServerDescription):
+    """Announcement of a backend server to the entry instances of its failure domain."""
 
     role: Role
     position: PositionMessage
 
 
 class StatusMessage(Message):
-    """A backend server's status as one observer read it."""
+    """A backend server's status as read by one observer."""
 
     role: Role
     position: PositionMessage
@@ -94,7 +94,7 @@
 
     @classmethod
     def of(cls, status: ServerStatus) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from a server status."""
         return cls(
             role=status.role,
             position=PositionMessage.of(status.position),
@@ -104,10 +104,10 @@
 
 
 class Observation(Message):
-    """How one proxy sees one backend server.
+    """One proxy's observation of one backend server.
 
     Attributes:
-        unreachable_ms: time since the last good answer; 0 while it answers.
+        unreachable_ms: time since its last successful answer; 0 while it answers.
         down_ms: time for which its machine has refused connections; 0 otherwise.
         status: the last status read, None when there was none.
     """
@@ -119,11 +119,11 @@
 
 
 class GroupReport(Message):
-    """What a proxy reports of its right to write to one database group.
+    """A proxy's report on its right to write to one database group.
 
     Attributes:
         held_term: term of the grant that the proxy holds; None for no grant.
-        acked: highest position of a write that it ever acknowledged.
+        acked: highest position of a write that the proxy has ever acknowledged.
     """
 
     group: Name
@@ -132,15 +132,15 @@
 
 
 class RenewRequest(Message):
-    """A proxy asks to keep its grants and its shares of connections.
+    """Request from a proxy to renew its grants and its shares of connections.
 
     Attributes:
         proxy: name of the instance, the same after a restart.
         incarnation: random identity of the process, new after a restart.
-        address: where the proxy's inside HTTP answers.
-        view_version: version of the committed state in force at the proxy.
+        address: address of the proxy's internal HTTP server.
+        view_version: version of the committed state that the proxy uses.
         connection_demand: connections wanted for each backend server.
-        announcements: backend servers that announced themselves lately.
+        announcements: recent announcements of backend servers.
     """
 
     proxy: Name
@@ -164,12 +164,12 @@
 
 
 class RenewResponse(Message):
-    """What the leader gives for ``lease_ms`` from when the request was sent.
+    """The leader's answer, valid for ``lease_ms`` from when the request was sent.
 
     Attributes:
-        withdrawn: groups whose grant the proxy must give up at once.
+        withdrawn: groups whose grant the proxy must release at once.
         connection_shares: connections that the proxy may open to each backend
-            server, the durable base share included.
+            server, including the base share that it keeps without a lease.
     """
 
     lease_ms: int = Field(ge=1)
@@ -180,10 +180,10 @@
 
 
 class ReleaseRequest(Message):
-    """The leader asks a proxy to give up its grant of a term, at once.
+    """Request from the leader that a proxy release its grant of a term at once.
 
     Attributes:
-        drain_ms: time for writes in flight to end before the answer; no new
+        drain_ms: time for writes in flight to finish before the answer; no new
             write starts meanwhile.
     """
 
@@ -193,14 +193,14 @@
 
 
 class ReleaseResponse(Message):
-    """The proxy has given up the grant and will acknowledge nothing under it."""
+    """The proxy has released the grant and will acknowledge nothing more under it."""
 
     incarnation: Name
     acked: PositionMessage | None
 
 
 class GroupMessage(Message):
-    """A database group as control has committed it."""
+    """A database group as committed by the control group."""
 
     name: Name
     term: int
@@ -210,7 +210,7 @@
 
     @classmethod
     def of(cls, state: GroupState) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from a group state."""
         return cls(
             name=state.name,
             term=state.term,
@@ -220,7 +220,7 @@
         )
 
     def value(self) -> GroupState:
-        """Return the inner value."""
+        """Return the group state that the message describes."""
         return GroupState(
             name=self.name,
             term=self.term,
@@ -230,12 +230,12 @@
         )
 
 
-class ServerMessage(DescribedServer):
-    """A backend server as control has committed it."""
+class ServerMessage(ServerDescription):
+    """A backend server as committed by the control group."""
 
     @classmethod
     def of(cls, server: BackendServer) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from a backend server."""
         return cls(
             server=server.name,
             group=server.group,
@@ -258,7 +258,7 @@
 
 
 class SettingsNode(Message):
-    """One node of the settings tree: its version and what it overrides."""
+    """One node of the settings tree with its version and overrides."""
 
     path: str
     version: int
@@ -266,7 +266,7 @@
 
 
 class EndpointMessage(Message):
-    """A database name that callers connect to, and what it promises."""
+    """A database name that callers connect to, with its service guarantees."""
 
     name: Name
     database: str
@@ -279,7 +279,7 @@
 
     @classmethod
     def of(cls, endpoint: Endpoint) -> Self:
-        """Build the message from the inner value."""
+        """Build the message from an endpoint."""
         return cls(
             name=endpoint.name,
             database=endpoint.database,
@@ -292,7 +292,7 @@
         )
 
     def value(self) -> Endpoint:
-        """Return the inner value."""
+        """Return the endpoint that the message describes."""
         return Endpoint(
             name=self.name,
             database=self.database,
@@ -306,7 +306,7 @@
 
 
 class RemovedItems(Message):
-    """What a view that holds only differences no longer has, by name or path."""
+    """Items that a view of differences removes, by name or path."""
 
     groups: list[str] = []
     servers: list[str] = []
@@ -316,12 +316,12 @@
 
 
 class ControlView(Message):
-    """The committed state that proxies follow.
+    """The committed state that is distributed to the proxies.
 
     Attributes:
-        version: index of the last log entry that is part of it; never falls.
-        base_version: 0 for the whole state; else only what differs from that
-            version is here, and what it no longer has is in ``removed``.
+        version: index of the last log entry included; never decreases.
+        base_version: 0 for the whole state; otherwise the view contains only the
+            differences from that version, and ``removed`` names what no longer exists.
     """
 
     version: int
@@ -342,13 +342,13 @@
 
 
 class WatchResponse(Message):
-    """Answer of a long poll: the newer view, or None when time ran out.
+    """Answer to a long poll: the newer view, or None when the wait timed out.
 
     Attributes:
         members: the control processes.
-        is_current: whether the process that answers hears from the leader.
-        retry_after_ms: when to poll again, where too many polls wait for this one to
-            wait as well; 0 for one that was answered in full.
+        is_current: whether the answering process is in contact with the leader.
+        retry_after_ms: delay before the next poll, when too many polls are already
+            waiting for this one to wait too; 0 when it was answered in full.
     """
 
     view: ControlView | None
@@ -359,12 +359,12 @@
 
 
 class ServerReport(Message):
-    """What a proxy tells control of a backend server that gives it trouble.
+    """A proxy's report to control on a backend server that it has trouble with.
 
     Attributes:
-        failing_ms: time since its last good answer.
+        failing_ms: time since its last successful answer.
         refusing_ms: time for which its machine has refused connections.
-        stalled_ms: time for which it answers reads but no write; 0 otherwise.
+        stalled_ms: time for which it has answered reads but no writes; 0 otherwise.
     """
 
     server: Name
@@ -374,7 +374,7 @@
 
 
 class ServerReports(Message):
-    """One proxy's reports; servers that are not named give it no trouble."""
+    """Reports of one proxy, which has no trouble with servers not listed."""
 
     proxy: Name
     failure_domain: Name
@@ -382,7 +382,7 @@
 
 
 class JoinRequest(Message):
-    """A control process asks to become a member of the control group."""
+    """Request from a control process to become a member of the control group."""
 
     node: Name
     address: HostPort
@@ -390,13 +390,13 @@
 
 
 class SettingsChangeRequest(Message):
-    """One change of one node; the same ``change_id`` again is the same change.
+    """One change to one node, which takes effect only once per ``change_id``.
 
     Attributes:
         expected_version: version of the node that the operator has seen; 0 for
             a node that does not exist yet.
         overrides: the node's whole new set of overrides; None deletes the node.
-        author: who asks, for the history.
+        author: who requested it, for the history.
     """
 
     change_id: Name
@@ -407,7 +407,7 @@
 
 
 class SettingsChangeResponse(Message):
-    """An accepted change: in force everywhere from ``view_version`` on."""
+    """An accepted change, in effect everywhere from ``view_version`` on."""
 
     path: str
     version: int
@@ -415,7 +415,7 @@
 
 
 class PromoteRequest(Message):
-    """An operator's planned change of primary."""
+    """An operator's request for a switchover, a planned change of primary."""
 
     change_id: Name
     group: Name
