--- a/features/mutations/guards/answers.py
+++ b/features/mutations/guards/answers.py
@@ -19,7 +19,7 @@
 
     replace(Wire, "_force_close", lambda _self: None)
     replace(Wire, "abandon", lambda _self: None)
-    replace(BackendConnection, "_lose", lambda _self: None)
+    replace(BackendConnection, "_abort_connection", lambda _self: None)
     replace(ConnectionPool, "release", release)
     replace(ConnectionHealth, "make_clean", lambda _self, _connection: True)
     replace(ConnectionHealth, "is_usable", lambda _self, _connection, _deadline: True)
--- a/packages/backend/src/dogwoodspool_backend/__init__.py
+++ b/packages/backend/src/dogwoodspool_backend/__init__.py
@@ -1,4 +1,4 @@
-"""Talk to backend servers: connections, pools, probes, role changes."""
+"""Connect to backend servers: connections, pools, probes and role changes."""
 
 from dogwoodspool_connections import (
     ConnectionPool,
--- a/packages/backend/src/dogwoodspool_backend/connection.py
+++ b/packages/backend/src/dogwoodspool_backend/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server and the answers read from it."""
+"""Connection to a backend server and the answers read from it."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -10,9 +10,9 @@
 from pymysql.connections import MySQLResult
 
 from .const import (
+    CR_MAX_ERROR,
+    CR_MIN_ERROR,
     ER_INVALID_CHARACTER_STRING,
-    FIRST_CLIENT_NUMBER,
-    LAST_CLIENT_NUMBER,
     QUIT_TIMEOUT,
     SQLSTATE_GENERAL,
 )
@@ -31,15 +31,15 @@
 
 
 class BackendConnection:
-    """One connection to a backend server, used by one caller at a time.
+    """Represent a connection to a backend server, used by one caller at a time.
 
     Attributes:
         server: the backend server.
         answered_at: when the server last gave a complete answer, clock seconds.
-        went_silent: a wait for the server ended without an answer.
+        went_silent: a wait for the server timed out without an answer.
         needs_reset: statements ran that may have changed the session.
-        is_probing: the pool gave it to a probe and not to a caller.
-        generation: the pool's count of settings under which it was opened.
+        is_probing: the pool gave the connection to a probe and not to a caller.
+        generation: the pool's count of settings changes when it was opened.
     """
 
     def __init__(
@@ -58,26 +58,26 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether the server's last answer was inside a transaction."""
+        """Return whether the server reported an open transaction in its last answer."""
         return self._wire.in_transaction
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the connection can carry another statement."""
+        """Return whether the connection can run another statement."""
         return bool(self._wire.open)
 
     @property
     def has_unread_answer(self) -> bool:
-        """Tell whether the last statement's answer was not read to its end."""
+        """Return whether the last statement's answer has not been read completely."""
         return self._result is not None and not self._result.is_complete
 
     def has_unasked_input(self) -> bool:
-        """Tell whether an idle connection holds bytes or its end.
+        """Return whether an idle connection is closed or has unexpected input.
 
-        A server that closed the connection while it was idle, or bytes that no
-        statement asked for, show here before anything is sent: the statement can
-        go to another connection as not run, and a stray answer is never read as
-        this statement's.
+        This detects a connection that the server closed while it was idle, and
+        bytes that belong to no statement, before anything is sent. The statement
+        has not run and can use another connection, and a stray answer is never
+        read as the answer to this statement.
         """
         return not self._wire.open or self._wire.has_input()
 
@@ -90,13 +90,14 @@
             sql: one statement.
             timeout: seconds for the whole answer, its rows included.
             may_change_session: False when the caller knows that the statement
-                leaves nothing behind in the session outside a transaction, so
-                that the connection needs no reset before its next use.
+                changes no session state outside a transaction, so that the
+                connection needs no reset before its next use.
 
         Raises:
             ConnectFailedError: the connection is closed; nothing was sent.
-            StatementFailedError: the database said no.
-            OutcomeUnknownError: no complete answer came; the connection is closed.
+            StatementFailedError: the database answered with an error.
+            OutcomeUnknownError: no complete answer was received; the connection is
+                closed.
         """
         if self.has_unread_answer:
             self.close()
@@ -105,76 +106,77 @@
         encoded = _encode(sql)
         self.needs_reset = self.needs_reset or may_change_session
         self._wire.set_deadline(self._clock.now() + timeout)
-        raw = self._guarded(lambda: self._wire.send_query(encoded))
+        raw = self._run_exchange(lambda: self._wire.send_query(encoded))
         self._result = StatementResult(self, raw)
         if raw.has_next:
-            self._refuse_second_answer()
+            self._reject_second_result()
         if not self._result.is_resultset:
-            self._note_answer()
+            self._record_answer()
         return self._result
 
-    def allow_more(self, seconds: float) -> None:
-        """Give the rest of the current answer more time.
+    def extend_deadline(self, seconds: float) -> None:
+        """Extend the deadline for the rest of the current answer.
 
-        A long result takes as long as its caller needs to read it; what is bounded
-        then is the wait for the next part of it.
+        Reading a long result takes as long as its caller needs, so the deadline
+        bounds the wait for the next part and not the whole result.
         """
         self._wire.set_deadline(self._clock.now() + seconds)
 
     def read_row(self, raw: MySQLResult) -> Row | None:
-        """Read the next row of the current answer, None at its end."""
-        row: Row | None = self._guarded(lambda: self._wire.read_row(raw))
+        """Return the next row of the current answer, None at its end."""
+        row: Row | None = self._run_exchange(lambda: self._wire.read_row(raw))
         if row is not None:
             return row
         if raw.has_next:
-            self._refuse_second_answer()
-        self._note_answer()
+            self._reject_second_result()
+        self._record_answer()
         return None
 
     def status(self, timeout: float) -> ServerStatus:
-        """Ask the server for its status; raise ``BackendError`` without one."""
-        return self.ask_status(self._statements.status, timeout)
+        """Return the server's status; raise ``BackendError`` if there is none."""
+        return self.query_status(self._statements.status, timeout)
 
     def wait_for(self, position: Position, wait: float, timeout: float) -> ServerStatus:
-        """Wait on the server for a position and return its status then.
+        """Wait until the server has reached a position and return its status.
 
-        The server answers when it has the position or after ``wait`` seconds: the
-        caller looks at the status to see which. ``timeout`` bounds the answer.
+        The server answers when it has reached the position or after ``wait``
+        seconds; the status tells the caller which. ``timeout`` is the time limit
+        for the answer in seconds.
         """
         sql = self._statements.wait.format(
             term=position.term,
             offset=position.offset,
             timeout_ms=max(0, round(wait * MILLISECONDS)),
         )
-        return self.ask_status(sql, timeout)
+        return self.query_status(sql, timeout)
 
-    def ask_status(self, sql: str, timeout: float) -> ServerStatus:
-        """Run a statement whose answer is a status row; raise ``BackendError``."""
+    def query_status(self, sql: str, timeout: float) -> ServerStatus:
+        """Run a statement that returns a status row; raise ``BackendError``."""
         with self.execute(sql, timeout, may_change_session=False) as result:
             return parse_status(result.columns, list(result.rows))
 
     def ping(self, timeout: float) -> None:
-        """Ask for a sign of life; raise ``BackendError`` and close without one."""
+        """Ping the server; close and raise ``BackendError`` if it does not answer."""
         self._wire.set_deadline(self._clock.now() + timeout)
-        self._guarded(self._wire.ping)
-        self._note_answer()
+        self._run_exchange(self._wire.ping)
+        self._record_answer()
 
     def reset(self, timeout: float) -> None:
-        """End any transaction and give the connection a fresh session.
+        """Roll back any transaction and reset the session state.
 
         Raises:
-            BackendError: it did not work; the connection is closed.
+            BackendError: the reset failed; the connection is closed.
         """
         if self.has_unread_answer:
             self.close()
-            raise OutcomeUnknownError("the last answer was not read to its end")
+            raise OutcomeUnknownError("the last answer was not read completely")
         self._wire.set_deadline(self._clock.now() + timeout)
         try:
-            self._guarded(self._wire.reset_session)
+            self._run_exchange(self._wire.reset_session)
         except BackendError:
             self.close()
             raise
-        self._note_answer()
+        self._record_answer()
         self.needs_reset = False
 
     def close(self) -> None:
@@ -185,30 +187,31 @@
         self._wire.set_deadline(self._clock.now() + QUIT_TIMEOUT)
         self._wire.quit()
 
-    def _guarded(self, action: Callable[[], AnswerT]) -> AnswerT:
-        # Any error but a complete error answer leaves the connection in the middle
-        # of an exchange: its next bytes would be read as another statement's
-        # answer. So it is closed before the error leaves this method.
+    def _run_exchange(self, action: Callable[[], AnswerT]) -> AnswerT:
+        # After any error other than a complete error answer, the connection is in
+        # the middle of an exchange and its next bytes would be read as the answer
+        # to another statement. The connection is therefore closed before the error
+        # is raised.
         try:
             return action()
         except pymysql.MySQLError as error:
-            if self._is_answer(error):
-                self._note_answer()
-                raise self._failed(error) from error
-            self._lose()
+            if self._is_server_error(error):
+                self._record_answer()
+                raise self._statement_failed(error) from error
+            self._abort_connection()
             raise OutcomeUnknownError(f"{self.server.name}: {error}") from error
         except Exception as error:
-            self._lose()
-            text = f"{self.server.name}: unreadable answer: {error!r}"
+            self._abort_connection()
+            text = f"{self.server.name}: cannot parse the answer: {error!r}"
             raise OutcomeUnknownError(text) from error
 
-    def _is_answer(self, error: pymysql.MySQLError) -> bool:
+    def _is_server_error(self, error: pymysql.MySQLError) -> bool:
         number = error.args[0] if error.args else None
         if not self.is_open or not isinstance(number, int):
             return False
-        return not FIRST_CLIENT_NUMBER <= number <= LAST_CLIENT_NUMBER
+        return not CR_MIN_ERROR <= number <= CR_MAX_ERROR
 
-    def _failed(self, error: pymysql.MySQLError) -> StatementFailedError:
+    def _statement_failed(self, error: pymysql.MySQLError) -> StatementFailedError:
         sqlstate = getattr(error, "sqlstate", None) or SQLSTATE_GENERAL
         message = str(error.args[1]) if len(error.args) > 1 else ""
         failed = StatementFailedError(error.args[0], sqlstate, message)
@@ -218,14 +221,14 @@
             self.close()
         return failed
 
-    def _refuse_second_answer(self) -> None:
+    def _reject_second_result(self) -> None:
         self.close()
-        raise OutcomeUnknownError("several answers to one statement are not supported")
+        raise OutcomeUnknownError("statements with multiple results are not supported")
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self.answered_at = self._clock.now()
 
-    def _lose(self) -> None:
+    def _abort_connection(self) -> None:
         self.went_silent = self.went_silent or self._wire.has_timed_out
         self._wire.abandon()
 
@@ -237,5 +240,5 @@
         raise StatementFailedError(
             ER_INVALID_CHARACTER_STRING,
             SQLSTATE_GENERAL,
-            "the statement is no valid utf8mb4 text",
+            "the statement is not valid utf8mb4 text",
         ) from error
--- a/packages/backend/src/dogwoodspool_backend/connector.py
+++ b/packages/backend/src/dogwoodspool_backend/connector.py
@@ -1,4 +1,4 @@
-"""Open connections to backend servers with MySQL's protocol."""
+"""Open connections to backend servers over the MySQL protocol."""
 
 import pymysql
 from dogwoodspool_common import BackendServer, Clock
@@ -6,7 +6,7 @@
 from dogwoodspool_settings.models import Statements
 
 from .connection import BackendConnection
-from .const import CONNECTION_LIMIT_NUMBERS
+from .const import CONNECTION_LIMIT_ERRORS
 from .errors import ConnectFailedError, ConnectionLimitError, ServerDownError
 from .models import Credentials
 from .wire import Wire
@@ -15,12 +15,13 @@
 
 
 class MySqlConnector:
-    """Open connections with MySQL's protocol.
+    """Open connections over the MySQL protocol.
 
     Args:
-        credentials: user and password towards the group's servers.
-        failure_domain: where this process runs; sent as a connect attribute.
-        statements: the group's statements.
+        credentials: user and password for the group's servers.
+        failure_domain: failure domain of this process; sent as a connection
+            attribute.
+        statements: SQL statements configured for the group.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         self._clock = clock
 
     def connect(self, server: BackendServer, deadline: float) -> BackendConnection:
-        """Return a connection that is logged in; see ``Connector``."""
+        """Return an authenticated connection; see ``Connector``."""
         try:
             wire = Wire(
                 server, self._credentials, self._failure_domain, self._clock, deadline
@@ -44,8 +45,8 @@
         except (OSError, pymysql.MySQLError) as error:
             raise _connect_error(server, error) from error
         except Exception as error:
-            # A peer that is no MySQL server makes the library fail in many ways.
-            text = f"{server.name}: unreadable handshake: {error!r}"
+            # PyMySQL raises errors of many types if the peer is not a MySQL server.
+            text = f"{server.name}: cannot parse the handshake: {error!r}"
             raise ConnectFailedError(text) from error
         return BackendConnection(server, wire, self._clock, self._statements)
 
@@ -53,7 +54,7 @@
 def _connect_error(server: BackendServer, error: Exception) -> ConnectFailedError:
     number = error.args[0] if error.args else None
     text = f"{server.name} at {server.address}: {error}"
-    if isinstance(error, pymysql.MySQLError) and number in CONNECTION_LIMIT_NUMBERS:
+    if isinstance(error, pymysql.MySQLError) and number in CONNECTION_LIMIT_ERRORS:
         return ConnectionLimitError(text)
     if isinstance(_root_cause(error), ConnectionRefusedError):
         return ServerDownError(text)
--- a/packages/backend/src/dogwoodspool_backend/const.py
+++ b/packages/backend/src/dogwoodspool_backend/const.py
@@ -10,23 +10,24 @@
 BINARY_CHARSET_ID: Final = 63
 READ_BUFFER_BYTES: Final = 64 * 1024
 
-# Numbers that a server answers to a connection attempt for want of connections.
+# Errors with which a server refuses a connection because a connection limit is
+# reached.
 ER_CON_COUNT: Final = 1040
 ER_TOO_MANY_USER_CONNECTIONS: Final = 1203
 ER_USER_LIMIT_REACHED: Final = 1226
-CONNECTION_LIMIT_NUMBERS: Final = frozenset(
+CONNECTION_LIMIT_ERRORS: Final = frozenset(
     {ER_CON_COUNT, ER_TOO_MANY_USER_CONNECTIONS, ER_USER_LIMIT_REACHED}
 )
 
-# Numbers after which the server closes the connection that it answered on:
-# forced close, shutdown, broken network, killed, and idle for too long.
-CONNECTION_LOST_NUMBERS: Final = frozenset(
+# Errors after which the server closes the connection: forced close, shutdown,
+# network failure, killed connection and idle timeout.
+CONNECTION_LOST_ERRORS: Final = frozenset(
     {1053, 1080, 1152, 1158, 1159, 1160, 1161, 1184, 1927, 3169, 4031}
 )
 
-# Numbers that the client library gives itself; no server answers them.
-FIRST_CLIENT_NUMBER: Final = 2000
-LAST_CLIENT_NUMBER: Final = 2999
+# Range of the errors raised by the client library; servers do not send them.
+CR_MIN_ERROR: Final = 2000
+CR_MAX_ERROR: Final = 2999
 
 ER_INVALID_CHARACTER_STRING: Final = 1300
 SQLSTATE_GENERAL: Final = "HY000"
@@ -35,7 +36,8 @@
 SQL_ROLLBACK: Final = "ROLLBACK"
 SQL_SET_NAMES: Final = f"SET NAMES {CHARSET}"
 
-# Rows that closing an unread answer reads to save the connection.
+# Rows read at most from an unread answer on close, so that the connection can be
+# used again.
 MAX_DRAINED_ROWS: Final = 256
 
 QUIT_TIMEOUT: Final = 0.05
--- a/packages/backend/src/dogwoodspool_backend/deadline_socket.py
+++ b/packages/backend/src/dogwoodspool_backend/deadline_socket.py
@@ -1,4 +1,4 @@
-"""A socket whose every wait ends at one deadline."""
+"""Socket wrapper that bounds every wait by a common deadline."""
 
 import io
 import select
@@ -11,14 +11,14 @@
 
 
 class DeadlineSocket:
-    """Stand between PyMySQL and its socket and bound each wait by a deadline.
+    """Wrap PyMySQL's socket and bound every wait by a deadline.
 
-    A plain read timeout starts again with every received byte, so a server that
-    sends one byte now and then would hold its caller for ever. Here all waits of
-    one statement share the time that is left of it.
+    A plain read timeout restarts with every received byte, so a server that sends
+    single bytes at intervals would block its caller indefinitely. Here all waits of
+    one statement share its remaining time.
 
     Attributes:
-        has_timed_out: a wait ended at its deadline; the peer may be silent.
+        has_timed_out: a wait ended at its deadline; the peer may be unresponsive.
     """
 
     def __init__(self, connected: socket.socket, clock: Clock, deadline: float) -> None:
@@ -32,26 +32,26 @@
         self.has_timed_out = False
 
     def set_deadline(self, deadline: float) -> None:
-        """Bound all further waits, in the clock's seconds."""
+        """Set the deadline of all further waits, in clock seconds."""
         self._deadline = deadline
 
     def has_input(self) -> bool:
-        """Tell without waiting whether bytes or the end of the stream are there."""
-        self._reader.is_waiting = False
+        """Return without waiting whether input or end of stream is available."""
+        self._reader.is_blocking = False
         try:
             return bool(self._buffered.peek(1)) or bool(self._poll.poll(0))
         finally:
-            self._reader.is_waiting = True
+            self._reader.is_blocking = True
 
     def settimeout(self, value: float | None) -> None:
-        """Ignore the library's own timeout: the deadline holds."""
+        """Ignore PyMySQL's own timeout, since the deadline applies."""
 
     def makefile(self, mode: str) -> BinaryIO:
-        """Return the buffered reading side."""
+        """Return the buffered reader."""
         return self._buffered
 
     def recv_into(self, buffer: Any) -> int:
-        """Read some bytes before the deadline."""
+        """Read available bytes; raise ``TimeoutError`` at the deadline."""
         try:
             self._socket.settimeout(self._remaining())
             return self._socket.recv_into(buffer)
@@ -60,7 +60,7 @@
             raise
 
     def sendall(self, data: bytes) -> None:
-        """Send all bytes before the deadline."""
+        """Send all bytes; raise ``TimeoutError`` at the deadline."""
         try:
             self._socket.settimeout(self._remaining())
             self._socket.sendall(data)
@@ -80,18 +80,18 @@
 
 
 class _DeadlineReader(io.RawIOBase):
-    """The reading side; gives up at once while ``is_waiting`` is false."""
+    """Raw reader of the socket; returns at once while ``is_blocking`` is false."""
 
     def __init__(self, owner: DeadlineSocket) -> None:
         self._owner = owner
-        self.is_waiting = True
+        self.is_blocking = True
 
     def readable(self) -> bool:
-        """Tell that the stream can be read."""
+        """Return that the stream is readable."""
         return True
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read some bytes; None when there are none and nobody waits."""
-        if not self.is_waiting:
+        """Read available bytes; None in non-blocking mode."""
+        if not self.is_blocking:
             return None
         return self._owner.recv_into(buffer)
--- a/packages/backend/src/dogwoodspool_backend/errors.py
+++ b/packages/backend/src/dogwoodspool_backend/errors.py
@@ -10,7 +10,7 @@
     ServerDownError,
 )
 
-from .const import CONNECTION_LOST_NUMBERS
+from .const import CONNECTION_LOST_ERRORS
 
 __all__ = [
     "BackendError",
@@ -26,12 +26,12 @@
 
 
 class StatementFailedError(BackendError):
-    """Report that the database answered with an error.
+    """Report that the database answered a statement with an error.
 
     Attributes:
         number: the database's error number.
-        sqlstate: its SQLSTATE, five characters.
-        message: its message.
+        sqlstate: the five-character SQLSTATE.
+        message: the database's error message.
     """
 
     is_sign_of_life = True
@@ -44,11 +44,11 @@
 
     @property
     def is_connection_lost(self) -> bool:
-        """Tell whether the server closes the connection after this error."""
-        return self.number in CONNECTION_LOST_NUMBERS
+        """Return whether the server closes the connection after this error."""
+        return self.number in CONNECTION_LOST_ERRORS
 
 
 class UnreadableStatusError(BackendError):
-    """Report an answer to the status statement that is no status."""
+    """Report that the answer to the status statement is not a valid status."""
 
     is_sign_of_life = True
--- a/packages/backend/src/dogwoodspool_backend/models.py
+++ b/packages/backend/src/dogwoodspool_backend/models.py
@@ -1,4 +1,4 @@
-"""Data classes of the backend library."""
+"""Data models of the backend library."""
 
 from dataclasses import dataclass, field
 
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """One column of an answer, as the server described it.
+    """Describe a column of an answer, as reported by the server.
 
     Attributes:
         name: name or alias.
-        type_code: MySQL's column type.
-        charset: number of the collation; 63 is binary.
-        flags: MySQL's column flags.
+        type_code: MySQL column type.
+        charset: collation id; 63 is binary.
+        flags: MySQL column flags.
         length: display length in bytes.
-        decimals: digits after the point.
+        decimals: digits after the decimal point.
     """
 
     name: str
@@ -32,20 +32,20 @@
 
     @property
     def is_binary(self) -> bool:
-        """Tell whether values are bytes and no text."""
+        """Return whether the values are bytes instead of text."""
         return self.charset == BINARY_CHARSET_ID
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """User and password towards backend servers."""
+    """User and password for backend servers."""
 
     user: str
     password: str = field(repr=False)
 
 
 class StatusRow(BaseModel):
-    """The status statement's row; columns not listed here are ignored."""
+    """Row of the status statement; columns not listed here are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -57,7 +57,7 @@
     leaving: bool = False
 
     def value(self) -> ServerStatus:
-        """Return the inner value."""
+        """Return the status as the data class used within the program."""
         return ServerStatus(
             server=self.server,
             role=self.role,
--- a/packages/backend/src/dogwoodspool_backend/probe.py
+++ b/packages/backend/src/dogwoodspool_backend/probe.py
@@ -1,4 +1,4 @@
-"""Ask backend servers for their status."""
+"""Probe the status of backend servers."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -10,30 +10,32 @@
 
 
 class Probe(Protocol):
-    """Ask a backend server for its role, position, lag and leaving mark."""
+    """Query a backend server for its role, position, lag and leaving flag."""
 
     def status(self, server: BackendServer) -> ServerStatus:
         """Return the server's status.
 
         Raises:
-            BackendError: there is no status; the error's attributes tell whether
-                that is a sign of life, of an unreachable server, or of neither
-                (``PoolTimeoutError``: no connection was free).
+            BackendError: no status was received; the error's attributes tell
+                whether the server itself answered, may be unreachable, or neither
+                is known (``PoolTimeoutError``: no connection was free).
         """
         ...
 
 
 class Prober:
-    """Ask through the pools that the callers' statements use.
+    """Probe servers through the pools that the callers' statements use.
 
-    A dedicated connection per proxy and server would hold 9 of a server's 20
-    connections for probes alone. A pool of one connection that is in use gives no
-    status: ``PoolTimeoutError``, which is no sign of an unreachable server.
+    A dedicated connection per proxy and server would use 9 of a server's 20
+    connections for probes alone. If a pool has only one connection and it is in
+    use, the probe raises ``PoolTimeoutError``, which does not suggest that the
+    server is unreachable.
 
     Args:
-        pool_of: gives a server's pool.
-        timeout: gives the seconds for one probe of a server, the wait for a
-            connection included; asked each time, since settings change.
+        pool_of: returns a server's pool.
+        timeout: returns the time limit in seconds of one probe of a server,
+            including the wait for a connection; called for each probe, since
+            settings change.
     """
 
     def __init__(
--- a/packages/backend/src/dogwoodspool_backend/role_change.py
+++ b/packages/backend/src/dogwoodspool_backend/role_change.py
@@ -1,4 +1,4 @@
-"""Change the role of backend servers by SQL statements."""
+"""Change the role of backend servers with SQL statements."""
 
 from typing import Protocol
 
@@ -16,39 +16,40 @@
 
 
 class RoleChanger(Protocol):
-    """Give backend servers their role in their group.
+    """Change the role of backend servers in their group.
 
     Every method returns the server's status after the change and raises
-    ``BackendError``: after ``OutcomeUnknownError`` the change may have happened.
-    All may be repeated: a server refuses an older term.
+    ``BackendError`` on failure; after ``OutcomeUnknownError`` the change may have
+    taken effect. All methods can be called again, because a server refuses an
+    older term.
     """
 
     def status(self, server: BackendServer) -> ServerStatus:
-        """Ask for the status."""
+        """Return the server's status."""
         ...
 
     def promote(self, server: BackendServer, term: int) -> ServerStatus:
-        """Make the server its group's primary at a term."""
+        """Make the server the primary of its group for a term."""
         ...
 
     def follow(
         self, server: BackendServer, primary_address: Address, term: int
     ) -> ServerStatus:
-        """Make the server a replica of a primary at a term."""
+        """Make the server a replica of a primary for a term."""
         ...
 
     def fence(self, server: BackendServer, term: int) -> ServerStatus:
-        """Make the server refuse writes under terms older than this one."""
+        """Make the server refuse writes of older terms than this one."""
         ...
 
 
 class SqlRoleChanger:
-    """Change roles with the group's statements, each on its own connection.
+    """Change roles with the group's statements, each on a separate connection.
 
     Args:
-        connect_timeout: seconds for the connection.
-        statement_timeout: seconds for the statement's answer.
-        failure_domain: where this process runs.
+        connect_timeout: time limit for the connection in seconds.
+        statement_timeout: time limit for the statement's answer in seconds.
+        failure_domain: failure domain of this process.
     """
 
     def __init__(
@@ -71,11 +72,11 @@
         )
 
     def status(self, server: BackendServer) -> ServerStatus:
-        """Ask for the status; see ``RoleChanger``."""
+        """Return the server's status; see ``RoleChanger``."""
         return self._run(server, self._statements.status)
 
     def promote(self, server: BackendServer, term: int) -> ServerStatus:
-        """Make the server its group's primary; see ``RoleChanger``."""
+        """Make the server the primary of its group; see ``RoleChanger``."""
         return self._run(server, self._statements.promote.format(term=term))
 
     def follow(
@@ -88,13 +89,13 @@
         return self._run(server, sql)
 
     def fence(self, server: BackendServer, term: int) -> ServerStatus:
-        """Make the server refuse older writes; see ``RoleChanger``."""
+        """Make the server refuse writes of older terms; see ``RoleChanger``."""
         return self._run(server, self._statements.fence.format(term=term))
 
     def _run(self, server: BackendServer, sql: str) -> ServerStatus:
         deadline = self._clock.now() + self._connect_timeout
         connection = self._connector.connect(server, deadline)
         try:
-            return connection.ask_status(sql, self._statement_timeout)
+            return connection.query_status(sql, self._statement_timeout)
         finally:
             connection.close()
--- a/packages/backend/src/dogwoodspool_backend/status.py
+++ b/packages/backend/src/dogwoodspool_backend/status.py
@@ -1,4 +1,4 @@
-"""Read a backend server's status from the status statement's row."""
+"""Parse a backend server's status from the row of the status statement."""
 
 from collections.abc import Sequence
 
@@ -10,17 +10,19 @@
 
 
 def parse_status(columns: Sequence[Column], rows: Sequence[Row]) -> ServerStatus:
-    """Return the status that one row of text values describes.
+    """Return the status that a row of text values describes.
 
     Raises:
-        UnreadableStatusError: for anything but one row with the wanted columns.
+        UnreadableStatusError: the answer is not one row with the expected columns.
     """
     if len(rows) != 1:
-        raise UnreadableStatusError(f"the status has {len(rows)} rows")
+        raise UnreadableStatusError(
+            f"the status statement returned {len(rows)} rows instead of 1"
+        )
     names = [column.name.lower() for column in columns]
     try:
         values = [None if value is None else value.decode() for value in rows[0]]
         fields = dict(zip(names, values, strict=True))
         return StatusRow.model_validate(fields).value()
     except (ValidationError, ValueError) as error:
-        raise UnreadableStatusError(f"unreadable status: {error}") from error
+        raise UnreadableStatusError(f"cannot parse the status: {error}") from error
--- a/packages/backend/src/dogwoodspool_backend/wire.py
+++ b/packages/backend/src/dogwoodspool_backend/wire.py
@@ -1,7 +1,7 @@
-"""PyMySQL's connection, with deadlines, raw values and the server's flags.
+"""PyMySQL connection with deadlines, raw values and the server's status flags.
 
-Every use of a name that PyMySQL keeps to itself is in this module; its version is
-pinned.
+All uses of PyMySQL's private names are in this module; the version of PyMySQL is
+pinned because of them.
 """
 
 import socket
@@ -27,7 +27,7 @@
 from .models import Column, Credentials, Row
 
 EOF_STATUS: Final = struct.Struct("<xHH")
-FIRST_ANSWER_SEQUENCE: Final = 1
+FIRST_RESPONSE_SEQUENCE: Final = 1
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 
 
 class Wire(PyMySqlConnection):
-    """One connection of PyMySQL whose values pass through as raw bytes."""
+    """PyMySQL connection that returns values as raw bytes."""
 
     server_status: int
 
@@ -52,8 +52,8 @@
         """Connect and log in before the deadline.
 
         Raises:
-            OSError: when the TCP connection does not come up.
-            pymysql.MySQLError: when the server refuses.
+            OSError: the TCP connection could not be established.
+            pymysql.MySQLError: the server refused the connection.
         """
         super().__init__(
             host=server.address.host,
@@ -63,7 +63,7 @@
             database=server.group,
             charset=CHARSET,
             autocommit=True,
-            conv={bool: escape_bool},  # For SET AUTOCOMMIT; no decoders.
+            conv={bool: escape_bool},  # For SET AUTOCOMMIT; values are not decoded.
             use_unicode=False,
             ssl_disabled=True,
             program_name=PROGRAM_NAME,
@@ -81,20 +81,20 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether the server's last answer was inside a transaction."""
+        """Return whether the server reported an open transaction in its last answer."""
         return bool(self.server_status & SERVER_STATUS.SERVER_STATUS_IN_TRANS)
 
     @property
     def has_timed_out(self) -> bool:
-        """Tell whether a wait for the server ended at its deadline."""
+        """Return whether a wait for the server ended at its deadline."""
         return self._deadline_socket.has_timed_out
 
     def set_deadline(self, deadline: float) -> None:
-        """Bound all further waits, in the clock's seconds."""
+        """Set the deadline of all further waits, in clock seconds."""
         self._deadline_socket.set_deadline(deadline)
 
     def has_input(self) -> bool:
-        """Tell whether bytes that no statement asked for, or the end, are there."""
+        """Return whether unread bytes or the end of the stream are available."""
         return self._deadline_socket.has_input()
 
     def send_query(self, sql: bytes) -> MySQLResult:
@@ -103,17 +103,18 @@
         return cast(MySQLResult, cast(Any, self)._result)
 
     def read_row(self, result: MySQLResult) -> Row | None:
-        """Read the next row of an answer, None at its end."""
+        """Return the next row of an answer, None at its end."""
         row = cast(Any, result)._read_rowdata_packet_unbuffered()
         return cast(Row | None, row)
 
     def reset_session(self) -> None:
-        """Give the connection a fresh session in one round trip.
+        """Reset the session state in one round trip.
 
-        The commands are sent together: a reset is paid for between two callers on
-        a scarce connection. COM_RESET_CONNECTION also undoes SET NAMES, which
-        therefore follows it, and brings back the server's own autocommit mode,
-        which needs a second round trip only where that is off.
+        The commands are sent together, because connections are scarce and no
+        caller can use the connection during a reset. COM_RESET_CONNECTION also
+        reverts SET NAMES, which therefore follows it, and restores the server's
+        default autocommit mode, which needs a second round trip only if that
+        default is off.
         """
         commands = (
             (COMMAND.COM_QUERY, SQL_ROLLBACK),
@@ -125,22 +126,24 @@
         inner._result = None
         inner._write_bytes(packets)
         for _command in commands:
-            inner._next_seq_id = FIRST_ANSWER_SEQUENCE
+            inner._next_seq_id = FIRST_RESPONSE_SEQUENCE
             inner._read_ok_packet()
         self.autocommit(True)
 
     def quit(self) -> None:
-        """Tell the server that the session ends and close the socket.
+        """Send the quit command and close the socket.
 
-        The word goes into the socket's buffer; nothing waits for the server.
+        The command is written to the socket's send buffer; nothing waits for the
+        server.
         """
         if self.open:
             self.close()
 
     def abandon(self) -> None:
-        """Close the socket at once, without a word to the server.
+        """Close the socket at once, without sending the quit command.
 
-        An answer half read would make PyMySQL's destructor read the rest.
+        The pending result is marked as inactive first, since PyMySQL's destructor
+        would otherwise read the rest of a partially read answer.
         """
         inner = cast(Any, self)
         if inner._result is not None:
@@ -148,8 +151,8 @@
         inner._force_close()
 
     def _read_packet(self, packet_type: Any = MysqlPacket) -> Any:
-        # PyMySQL drops the flags that end a result set, and with them the answer
-        # to whether a read has opened a transaction.
+        # PyMySQL discards the status flags at the end of a result set, which tell
+        # whether a read has opened a transaction.
         packet = cast(Any, super())._read_packet(packet_type)
         if packet.is_eof_packet():
             data = packet.get_all_data()
@@ -159,7 +162,7 @@
 
 
 def columns_of(result: MySQLResult) -> tuple[Column, ...]:
-    """Return the columns of an answer, none when it is no result set."""
+    """Return the columns of an answer; empty if it is not a result set."""
     fields = getattr(result, "fields", ())
     return tuple(
         Column(
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -316,7 +316,7 @@
     rows = result.rows
     while part := list(islice(rows, RESULT_STALL_ROWS)):
         yield from part
-        held.connection.allow_more(RESULT_STALL_SECONDS)
+        held.connection.extend_deadline(RESULT_STALL_SECONDS)
 
 
 def answer_columns(result: StatementResult) -> tuple[AnswerColumn, ...]:
--- a/tests/backend/servers.py
+++ b/tests/backend/servers.py
@@ -1,4 +1,4 @@
-"""A small MySQL server and a relay that goes silent, for tests."""
+"""Scripted MySQL server and a TCP relay that injects network faults, for tests."""
 
 import asyncio
 import logging
@@ -28,7 +28,7 @@
 
 
 class ScriptedSession(BaseSession):
-    """Answer a few statements by their first word."""
+    """Answer a few test commands, selected by the first word of the statement."""
 
     def __init__(self) -> None:
         self.variables = SessionVariables(GlobalVariables())
@@ -47,7 +47,7 @@
         if word == "ROWS":
             return [(str(number),) for number in range(int(rest))], ["value"]
         if word == "FAIL":
-            raise MysqlError("the database said no", ErrorCode(int(rest)))
+            raise MysqlError("the statement failed", ErrorCode(int(rest)))
         if word == "KEEP":
             self.value = rest
         if word == "ROLLBACK":
@@ -76,7 +76,7 @@
 
 
 class ScriptedServer:
-    """Run the scripted sessions on a free port in a thread of their own."""
+    """Serve scripted sessions on a free port from a separate thread."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -98,7 +98,7 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Return the listening address."""
         return Address("127.0.0.1", self.port)
 
     async def _stop(self) -> None:
@@ -116,7 +116,7 @@
 
 
 class Relay:
-    """Pass bytes between clients and a server until told to go silent."""
+    """Forward bytes between clients and a server and inject network faults."""
 
     def __init__(self, target: Address) -> None:
         self._target = target
@@ -133,30 +133,30 @@
 
     def __exit__(self, *_error: object) -> None:
         self._listening.close()
-        for one in self._sockets:
-            one.close()
+        for opened in self._sockets:
+            opened.close()
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Return the listening address."""
         return Address("127.0.0.1", self._listening.getsockname()[1])
 
     def silence_open_connections(self) -> None:
-        """Swallow all further bytes of the connections that are open now."""
+        """Discard all further bytes of the currently open connections."""
         self._silent.update(range(self.accepted))
 
     def cut_open_connections(self) -> None:
         """Close all connections."""
-        for one in self._sockets:
+        for opened in self._sockets:
             with suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
+                opened.shutdown(socket.SHUT_RDWR)
 
     def trickle(self) -> None:
-        """Pass the servers' bytes one by one, with a pause before each."""
+        """Forward bytes one by one, with a pause before each."""
         self._is_trickling = True
 
     def refuse(self) -> None:
-        """Close every new connection at once."""
+        """Close every new connection immediately."""
         self._is_refusing = True
 
     def _accept(self) -> None:
@@ -170,29 +170,31 @@
                 continue
             target = (self._target.host, self._target.port)
             server = socket.create_connection(target)
-            number, self.accepted = self.accepted, self.accepted + 1
+            index, self.accepted = self.accepted, self.accepted + 1
             self._sockets += [client, server]
             for pair in ((client, server), (server, client)):
-                arguments = (number, *pair)
-                threading.Thread(target=self._pass, args=arguments, daemon=True).start()
+                arguments = (index, *pair)
+                threading.Thread(
+                    target=self._forward, args=arguments, daemon=True
+                ).start()
 
-    def _pass(self, number: int, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, index: int, source: socket.socket, sink: socket.socket) -> None:
         try:
             while data := source.recv(65536):
                 size = 1 if self._is_trickling else len(data)
                 for start in range(0, len(data), size):
                     if self._is_trickling:
                         time.sleep(TRICKLE_PAUSE)
-                    if number not in self._silent:
+                    if index not in self._silent:
                         sink.sendall(data[start : start + size])
-            if number not in self._silent:
+            if index not in self._silent:
                 sink.shutdown(socket.SHUT_WR)
         except OSError:
             return
 
 
 def server_at(address: Address) -> BackendServer:
-    """Return a backend server that answers at an address."""
+    """Return the description of a backend server at an address."""
     return BackendServer("a1", "orders", "fd-a", address, slots=3, connections=20)
 
 
--- a/tests/backend/test_connection.py
+++ b/tests/backend/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of one connection to a backend server."""
+"""Tests of a connection to a backend server."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class ConnectionTestCase(unittest.TestCase):
-    """A scripted server with one connection to it."""
+    """Set up a scripted server with one connection to it."""
 
     def setUp(self) -> None:
         self.server = self.enterContext(ScriptedServer())
@@ -32,9 +32,9 @@
 
 
 class ExecuteTests(ConnectionTestCase):
-    """Statements and their answers."""
+    """Execution of statements and parsing of their answers."""
 
-    def test_values_pass_through_as_the_server_sent_them(self) -> None:
+    def test_values_are_returned_as_sent_by_the_server(self) -> None:
         self.assertEqual(self.value("ECHO 0042 é"), "0042 é".encode())
 
     def test_write_has_no_columns(self) -> None:
@@ -48,35 +48,35 @@
         self.assertEqual(raised.exception.number, 1064)
         self.assertEqual(self.value("ECHO 1"), b"1")
 
-    def test_closed_connection_sends_nothing(self) -> None:
+    def test_closed_connection_raises_connect_failed(self) -> None:
         self.connection.close()
         with self.assertRaises(ConnectFailedError):
             self.connection.execute("ECHO 1", 5)
 
-    def test_status_row_becomes_a_status(self) -> None:
+    def test_status_row_is_parsed(self) -> None:
         status = self.connection.status(5)
         self.assertEqual(status.role, Role.REPLICA)
         self.assertEqual(status.position, Position(3, 17))
         self.assertIsNone(status.lag_ms)
 
-    def test_reset_leaves_nothing_of_the_last_caller(self) -> None:
+    def test_reset_clears_session_state(self) -> None:
         self.connection.execute("KEEP secret", 5)
         self.assertEqual(self.value("KEPT"), b"secret")
         self.connection.reset(5)
         self.assertIsNone(self.value("KEPT"))
 
-    def test_reset_brings_back_charset_and_autocommit(self) -> None:
+    def test_reset_restores_charset_and_autocommit(self) -> None:
         self.connection.reset(5)
         settings = "NAMES utf8mb4, AUTOCOMMIT = 1"
         self.assertEqual(self.value("SETTINGS"), f"{settings}, {settings}".encode())
 
 
 class LateAnswerTests(ConnectionTestCase):
-    """A caller reads another statement's answer.
+    """Guard against a caller reading the answer to another statement.
 
-    A statement's time runs out, its answer comes later. Were the connection used
-    again, the next statement would read that answer as its own. Cause: answers in
-    MySQL's protocol carry no name of their question.
+    A statement times out and its answer arrives later. If the connection were used
+    again, the next statement would read that answer as its own, because answers in
+    the MySQL protocol do not identify their statement.
     """
 
     def test_timeout_closes_the_connection(self) -> None:
@@ -92,7 +92,7 @@
         result.close()
         self.assertFalse(self.connection.is_open)
 
-    def test_short_rest_of_an_answer_is_read(self) -> None:
+    def test_few_unread_rows_are_read_on_close(self) -> None:
         result = self.connection.execute("ROWS 100", 5)
         next(result.rows)
         result.close()
@@ -100,8 +100,8 @@
 
 
 class ConnectTests(unittest.TestCase):
-    """Connections that do not come up."""
+    """Connections that cannot be established."""
 
-    def test_refused_connection_was_not_sent(self) -> None:
+    def test_refused_connection_raises_connect_failed(self) -> None:
         with self.assertRaises(ConnectFailedError):
             connector().connect(server_at(Address("127.0.0.1", 1)), CLOCK.now() + 1)
--- a/tests/backend/test_pool.py
+++ b/tests/backend/test_pool.py
@@ -22,7 +22,7 @@
 
 
 def run(pool: MySqlPool, sql: str, timeout: float = 5) -> bytes | None:
-    """Run one statement on a connection of the pool and return its value."""
+    """Run a statement on a connection of the pool and return its value."""
     connection = pool.acquire(CLOCK.now() + 5)
     try:
         with connection.execute(sql, timeout) as result:
@@ -33,7 +33,7 @@
 
 
 class PoolTestCase(unittest.TestCase):
-    """A scripted server behind a relay."""
+    """Set up a scripted server behind a relay."""
 
     def setUp(self) -> None:
         self.server = self.enterContext(ScriptedServer())
@@ -49,9 +49,12 @@
 
 
 class LimitTests(PoolTestCase):
-    """A server takes few connections; the pool never opens more than its share."""
+    """Guard against a pool that opens more connections than its share.
 
-    def test_callers_wait_in_order_when_all_are_in_use(self) -> None:
+    Backend servers accept few connections.
+    """
+
+    def test_callers_are_served_in_order_of_arrival(self) -> None:
         pool = self.pool(1)
         held = pool.acquire(CLOCK.now() + 5)
         served: list[int] = []
@@ -81,7 +84,7 @@
             pool.acquire(CLOCK.now() + 0.05)
         self.assertEqual(pool.waiting, 0)
 
-    def test_open_connections_never_pass_a_changing_limit(self) -> None:
+    def test_open_connections_never_exceed_a_changing_limit(self) -> None:
         pool = self.pool(4)
         highest = 0
         limits = (1, 3, 2, 4)
@@ -113,7 +116,7 @@
             pool.release(connection, reuse=True)
         self.assertEqual(pool.open_count, 1)
 
-    def test_failed_connect_gives_its_room_back(self) -> None:
+    def test_failed_connect_releases_its_slot(self) -> None:
         pool = self.pool(1)
         self.relay.refuse()
         for _ in range(3):
@@ -121,7 +124,7 @@
                 pool.acquire(CLOCK.now() + 1)
         self.assertEqual(pool.open_count, 0)
 
-    def test_probe_takes_nothing_from_the_callers_share(self) -> None:
+    def test_probe_does_not_reduce_the_callers_share(self) -> None:
         pool = self.pool(2)
         probing = pool.acquire(CLOCK.now() + 5, is_probe=True)
         self.assertEqual(run(pool, "ECHO 1"), b"1")
@@ -134,7 +137,7 @@
         pool.release(held, reuse=False)
         self.assertEqual(run(pool, "ECHO 2"), b"2")
 
-    def test_unloaded_pool_refuses_its_waiters(self) -> None:
+    def test_unloaded_pool_rejects_waiting_callers(self) -> None:
         pool = self.pool(1)
         held = pool.acquire(CLOCK.now() + 5)
         with ThreadPoolExecutor(1) as executor:
@@ -149,9 +152,9 @@
 
 
 class DemandTests(PoolTestCase):
-    """Control leases connections by demand."""
+    """Measurement of the demand by which control leases connections."""
 
-    def test_demand_is_the_peak_of_the_last_moments(self) -> None:
+    def test_demand_is_the_recent_peak(self) -> None:
         clock = ManualClock()
         connecting = mock.Mock(spec=Connector)
         connecting.connect.side_effect = lambda server, _deadline: connector().connect(
@@ -170,15 +173,15 @@
 
 
 class ReuseTests(PoolTestCase):
-    """Nothing of one caller reaches the next on the same connection."""
+    """Guard against state or answers leaking to the next user of a connection."""
 
-    def test_session_of_the_last_caller_is_gone(self) -> None:
+    def test_session_state_of_the_last_caller_is_cleared(self) -> None:
         pool = self.pool(1)
         run(pool, "KEEP secret")
         self.assertIsNone(run(pool, "KEPT"))
         self.assertEqual(self.relay.accepted, 1)
 
-    def test_half_read_answer_is_never_the_next_callers(self) -> None:
+    def test_partially_read_answer_is_not_read_by_the_next_caller(self) -> None:
         pool = self.pool(1)
         connection = pool.acquire(CLOCK.now() + 5)
         result = connection.execute("ROWS 50", 5, may_change_session=False)
@@ -186,11 +189,11 @@
         pool.release(connection, reuse=True)
         self.assertEqual(run(pool, "ECHO mine"), b"mine")
 
-    def test_late_answers_reach_nobody(self) -> None:
-        """Read another's late answer.
+    def test_late_answers_are_discarded(self) -> None:
+        """Guard against reading the late answer to another caller's statement.
 
-        Many callers share few connections and some statements run out of time.
-        Their answers come while others wait for theirs.
+        Many callers share few connections and some statements time out. Their
+        answers arrive while other callers wait for their own.
         """
         pool = self.pool(3)
 
@@ -208,14 +211,15 @@
 
 
 class SilentConnectionTests(PoolTestCase):
-    """Open connections go silent for good while new ones work.
+    """Guard against waiting on connections whose packets are dropped.
 
-    A caller's statement would wait for its whole deadline on each of them. Cause:
-    something between the two ends has lost track of the connections and drops
-    their packets without a word.
+    Open connections stop responding permanently while new ones work, because a
+    network device between the two ends has lost their state and drops their packets
+    without a reset. A caller's statement would wait for its whole deadline on each
+    of them.
     """
 
-    def test_one_loss_makes_the_idle_ones_suspects(self) -> None:
+    def test_timeout_causes_a_check_of_idle_connections(self) -> None:
         pool = self.pool(5)
         for connection in self.acquire_all(pool):
             pool.release(connection, reuse=True)
@@ -227,19 +231,20 @@
             BackendConnection, "ping", autospec=True, side_effect=ping
         ) as pings:
             self.assertEqual(run(pool, "ECHO works"), b"works")
-        # One check for all three suspects: each costs its whole timeout.
+        # One check for all three suspected connections, since each failed check
+        # takes its whole timeout.
         self.assertEqual(pings.call_count, 1)
         self.assertEqual(pool.open_count, 1)
         self.assertEqual(self.relay.accepted, 5)
 
-    def test_trickle_of_bytes_does_not_stretch_the_deadline(self) -> None:
+    def test_slowly_arriving_bytes_do_not_extend_the_deadline(self) -> None:
         pool = self.pool(1)
         run(pool, "ECHO 1")
         self.relay.trickle()
         with self.assertRaises(OutcomeUnknownError):
             run(pool, "ECHO 2", timeout=0.2)
 
-    def test_server_that_closed_an_idle_connection_costs_no_statement(self) -> None:
+    def test_closed_idle_connection_does_not_fail_a_statement(self) -> None:
         pool = self.pool(1)
         run(pool, "ECHO 1")
         self.relay.cut_open_connections()
--- a/tests/backend/test_pool_states.py
+++ b/tests/backend/test_pool_states.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the connection pool against a simple oracle."""
+"""Stateful property tests of the connection pool against a simple model."""
 
 import unittest
 from typing import Any, cast
@@ -21,7 +21,7 @@
 
 
 class FakeWire:
-    """A connection as the server and the network see it."""
+    """Fake driver connection with a configurable network state."""
 
     def __init__(self) -> None:
         self.open = True
@@ -53,7 +53,7 @@
 
 
 class FakeNetwork:
-    """Connect to a server that counts its connections."""
+    """Fake connector that records the connections opened to a server."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
@@ -172,7 +172,7 @@
 
 
 class PoolStatesTests(unittest.TestCase):
-    """Connections are neither lost, nor shared, nor opened above the limit."""
+    """Guard against leaked or shared connections and exceeded limits."""
 
     def test_states(self) -> None:
         machine = cast(Any, PoolMachine).TestCase
--- a/tests/backend/test_with_standin.py
+++ b/tests/backend/test_with_standin.py
@@ -34,7 +34,7 @@
 
 
 class BackendTestCase(StandinTestCase):
-    """Stand-ins with connections and pools to them."""
+    """Set up stand-ins with connections and pools to them."""
 
     def describe(self, server: StandinServer, name: str = "a") -> BackendServer:
         return BackendServer(name, "orders", f"fd-{name}", server.address, 3, 20)
@@ -61,15 +61,15 @@
 
 
 def rows(connection: BackendConnection, sql: str) -> list[tuple[bytes | None, ...]]:
-    """Run one statement and read its whole answer."""
+    """Run a statement and return all its rows."""
     with connection.execute(sql, 5) as result:
         return list(result.rows)
 
 
 class StatementTests(BackendTestCase):
-    """Answers of statements."""
+    """Execution of statements and their answers."""
 
-    def test_write_answers_rows_and_insert_id(self) -> None:
+    def test_write_returns_affected_rows_and_insert_id(self) -> None:
         connection = self.connect_backend(self.start("a", role="primary"))
         rows(
             connection,
@@ -82,7 +82,7 @@
         self.assertEqual(raised.exception.number, 1062)
         self.assertEqual(raised.exception.sqlstate, "23000")
 
-    def test_big_result_needs_little_memory(self) -> None:
+    def test_large_result_is_streamed(self) -> None:
         connection = self.connect_backend(self.start("a", role="primary"))
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
@@ -90,7 +90,7 @@
             size = sum(len(value or b"") for row in result.rows for value in row)
         _now, peak = tracemalloc.get_traced_memory()
         self.assertGreater(size, 12_000_000)
-        # Both ends are in this process; the whole result would be above 12 MB.
+        # Client and server run in this process; the whole result exceeds 12 MB.
         self.assertLess(peak, 6_000_000)
 
     def test_timeout_leaves_the_outcome_unknown(self) -> None:
@@ -101,13 +101,14 @@
 
 
 class TransactionTests(BackendTestCase):
-    """Transactions of different callers never mix on one connection.
+    """Guard against mixing the transactions of two callers on one connection.
 
-    A caller goes away in the middle of a transaction. Were its connection given to
-    the next caller as it is, that one's commit would commit the first one's lines.
+    A caller disconnects during a transaction. If its connection were given to the
+    next caller without a reset, the commit of the second caller would also commit
+    the rows of the first.
     """
 
-    def test_open_transaction_is_gone_for_the_next_caller(self) -> None:
+    def test_open_transaction_is_rolled_back_on_release(self) -> None:
         pool = self.pool(self.start("a", role="primary"), 1)
         first = pool.acquire(CLOCK.now() + 5)
         rows(first, "CREATE TABLE lines (text TEXT)")
@@ -122,7 +123,7 @@
         self.assertEqual(rows(second, "SELECT * FROM lines"), [])
         pool.release(second, reuse=True)
 
-    def test_autocommit_comes_back(self) -> None:
+    def test_autocommit_is_restored_on_release(self) -> None:
         pool = self.pool(self.start("a", role="primary"), 1)
         first = pool.acquire(CLOCK.now() + 5)
         rows(first, "SET autocommit = 0")
@@ -133,13 +134,13 @@
 
 
 class ChangedSettingsTests(BackendTestCase):
-    """An accepted change is in force in a pool that is at work."""
+    """Application of changed settings to a pool in use."""
 
-    def test_connections_of_old_settings_are_not_used_again(self) -> None:
-        """A new password is accepted, and a proxy goes on with the old one.
+    def test_connections_with_old_settings_are_not_reused(self) -> None:
+        """Guard against a proxy that keeps using the old password after a change.
 
-        The pool took its settings when it was built; the change came into force
-        there only with the proxy's restart.
+        If the pool read its settings only at creation, a change would not apply
+        until the proxy restarts.
         """
         pool = self.pool(self.start("a", role="primary"), 3)
         idle, used = pool.acquire(CLOCK.now() + 5), pool.acquire(CLOCK.now() + 5)
@@ -157,9 +158,9 @@
 
 
 class RefusedConnectionTests(BackendTestCase):
-    """A machine without the server is told from a silent one."""
+    """Distinction of a host without the server from an unresponsive host."""
 
-    def test_nothing_listens(self) -> None:
+    def test_closed_port_raises_server_down(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = Address("127.0.0.1", listener.getsockname()[1])
         described = BackendServer("a", "orders", "fd-a", address, 3, 20)
@@ -167,8 +168,8 @@
             self.connector().connect(described, CLOCK.now() + 5)
 
 
-class ConnectionCapTests(BackendTestCase):
-    """Connections are scarce."""
+class ConnectionLimitTests(BackendTestCase):
+    """Limited number of connections of a server."""
 
     def test_pools_within_their_shares_are_never_refused(self) -> None:
         server = self.start("a", role="primary", connections=6)
@@ -188,20 +189,20 @@
         with ThreadPoolExecutor(12) as executor:
             for future in [executor.submit(caller, number) for number in range(12)]:
                 future.result(60)
-        # The server refuses a seventh connection, so there was none.
+        # The server refuses a seventh connection, so none was opened.
         for pool in pools:
             self.assertIn(pool.open_count, (2, 3))
 
-    def test_server_without_connections_says_so(self) -> None:
+    def test_server_without_free_connections_raises_connection_limit(self) -> None:
         server = self.start("a", connections=1)
         self.connect_backend(server)
         with self.assertRaises(ConnectionLimitError) as raised:
             self.connect_backend(server)
-        # A full server must not be taken for a failed primary.
+        # A server at its connection limit must not be treated as a failed primary.
         self.assertTrue(raised.exception.is_sign_of_life)
         self.assertFalse(raised.exception.suggests_unreachable)
 
-    def test_cut_goes_by_the_failure_domain_of_the_connection(self) -> None:
+    def test_network_cut_applies_to_the_failure_domain_of_the_connection(self) -> None:
         server = self.start("a")
         server.faults.apply(FaultsRequest(cut_failure_domains=("fd-x",)))
         with self.assertRaises(ConnectFailedError):
@@ -209,10 +210,10 @@
         self.connect_backend(server, "fd-y")
 
 
-class SilenceTests(BackendTestCase):
-    """Open connections go silent for good while new ones work."""
+class UnresponsiveConnectionTests(BackendTestCase):
+    """Guard against waiting on connections that stopped responding permanently."""
 
-    def test_idle_connection_is_checked_after_another_went_silent(self) -> None:
+    def test_idle_connections_are_checked_after_another_timed_out(self) -> None:
         server = self.start("a", role="primary")
         pool = self.pool(server, 3)
         held = [pool.acquire(CLOCK.now() + 5) for _ in range(pool.caller_limit)]
@@ -231,7 +232,7 @@
 
 
 class RoleTests(BackendTestCase):
-    """Status and role changes by statements."""
+    """Status queries and role changes with statements."""
 
     def changer(self) -> SqlRoleChanger:
         return SqlRoleChanger(USER, PASSWORD, Statements(), 5, 5, failure_domain="x")
@@ -249,12 +250,12 @@
         )
         self.assertEqual(changer.status(old).role, Role.REPLICA)
 
-    def test_refused_role_change_is_the_servers_answer(self) -> None:
+    def test_refused_role_change_raises_statement_failed(self) -> None:
         server = self.start("a", role="primary")
         with self.assertRaises(StatementFailedError):
             self.changer().promote(self.describe(server), 0)
 
-    def test_wait_returns_when_the_position_is_there(self) -> None:
+    def test_wait_returns_when_the_position_is_reached(self) -> None:
         first, second = self.start_pair()
         writer = self.connect_backend(first)
         rows(writer, "CREATE TABLE lines (text TEXT)")
@@ -266,12 +267,12 @@
         status = reader.wait_for(ahead, wait=0.02, timeout=10)
         self.assertLess(status.position, ahead)
 
-    def test_probe_sees_a_frozen_server_though_callers_hang_on_it(self) -> None:
-        """Fail over late.
+    def test_probe_detects_a_frozen_server_while_statements_hang(self) -> None:
+        """Guard against a late failover when the primary freezes under load.
 
-        A primary stands still under load. Every connection holds a statement that
-        never ends, probes wait for a connection in vain, and nobody calls the
-        server failed until the statements' deadlines.
+        Every connection holds a statement that does not end. If probes had to wait
+        for a free connection, the server would not be reported as failed before the
+        statements' deadlines.
         """
         server = self.start("a", role="primary")
         pool = self.pool(server, 2)
@@ -290,7 +291,7 @@
             pool.release(hanging, reuse=True)
             pool.release(waiting.result(30), reuse=True)
 
-    def test_probe_goes_through_the_pool(self) -> None:
+    def test_probe_uses_the_pool(self) -> None:
         server = self.start("a", role="primary")
         pool = self.pool(server, 1)
         prober = Prober(lambda _server: pool, CLOCK, lambda _server: 5)
