--- a/features/mutations/guards/answers.py
+++ b/features/mutations/guards/answers.py
@@ -29,11 +29,11 @@
     """End a result that broke off as if it were whole."""
     from dogwoodspool_gateway.fetched import FetchedRows
 
-    def take(self: Any) -> None:
+    def fetch_batch(self: Any) -> None:
         original(self)
         self.failure = None
 
-    original = replace(FetchedRows, "take", take)
+    original = replace(FetchedRows, "fetch_batch", fetch_batch)
 
 
 def results_buffered() -> None:
--- a/packages/gateway/src/dogwoodspool_gateway/__init__.py
+++ b/packages/gateway/src/dogwoodspool_gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Serve the callers' protocol."""
+"""Accept callers' connections and serve the MySQL protocol to them."""
 
 from .authentication import hash_password
 from .classify import classify
@@ -18,7 +18,7 @@
     Answer,
     AnswerColumn,
     CallerSession,
-    Classified,
+    Classification,
     DoneAnswer,
     ErrorAnswer,
     Outcome,
@@ -44,7 +44,7 @@
     "AnswerColumn",
     "CallerListener",
     "CallerSession",
-    "Classified",
+    "Classification",
     "DoneAnswer",
     "ErrorAnswer",
     "GatewayError",
--- a/packages/gateway/src/dogwoodspool_gateway/classify.py
+++ b/packages/gateway/src/dogwoodspool_gateway/classify.py
@@ -1,7 +1,7 @@
-"""Tell what a statement means to the proxy.
+"""Classify statements by how the proxy handles them.
 
-A statement that is not known to be a plain read is a write. Statements that would
-leave state behind on a pooled connection are refused.
+A statement that is not known to be a plain read is treated as a write. Statements
+that would leave state on a pooled connection are classified as unsupported.
 """
 
 import re
@@ -14,19 +14,19 @@
 from sqlglot.tokenizer_core import Token, TokenType
 
 from .const import CLASSIFY_CACHE_SIZE
-from .models import Classified, StatementKind
-from .words import (
-    DDL_WORDS,
+from .keywords import (
+    DDL_KEYWORDS,
     FALSE_VALUES,
-    GROUPING_WORDS,
     IGNORED_VARIABLES,
+    NON_FUNCTION_KEYWORDS,
     PURE_FUNCTIONS,
-    READ_WORDS,
+    READ_KEYWORDS,
     TRUE_VALUES,
     UNSUPPORTED_FUNCTIONS,
-    UNSUPPORTED_WORDS,
-    WRITING_WORDS,
+    UNSUPPORTED_KEYWORDS,
+    WRITE_KEYWORDS,
 )
+from .models import Classification, StatementKind
 
 LITERAL_TOKENS: Final = frozenset(
     {TokenType.STRING, TokenType.NUMBER, TokenType.HEX_STRING}
@@ -49,8 +49,8 @@
 
 
 @lru_cache(maxsize=CLASSIFY_CACHE_SIZE)
-def classify(sql: str) -> Classified:
-    """Tell what a statement means to the proxy.
+def classify(sql: str) -> Classification:
+    """Classify a statement by how the proxy handles it.
 
     Example:
         >>> classify("SELECT body FROM lines FOR UPDATE").kind
@@ -61,24 +61,24 @@
         sql = executable[1]
     if _LOCAL_SELECT.fullmatch(sql):
         items = _EACH_LOCAL_ITEM.findall(sql)
-        return Classified(
+        return Classification(
             StatementKind.LOCAL_SELECT,
             tuple((variable or function).lower() for variable, function in items),
         )
     try:
         tokens = tokenize(sql, read="mysql")
     except SqlglotError:
-        return Classified(StatementKind.WRITE)
+        return Classification(StatementKind.WRITE)
     while tokens and tokens[-1].token_type is TokenType.SEMICOLON:
         tokens.pop()
     if not tokens:
-        return Classified(StatementKind.IGNORED)
+        return Classification(StatementKind.IGNORED)
     return _classify_tokens(sql, tokens)
 
 
-def _classify_tokens(sql: str, tokens: Sequence[Token]) -> Classified:
+def _classify_tokens(sql: str, tokens: Sequence[Token]) -> Classification:
     if any(token.token_type is TokenType.SEMICOLON for token in tokens):
-        return _unsupported("several statements in one request")
+        return _unsupported("multiple statements in one request")
     if "/*!" in sql and _has_executable_comment(tokens):
         return _unsupported("an executable comment")
     words = tuple(_word(token) for token in tokens)
@@ -90,43 +90,45 @@
     return _classify_words(words, functions)
 
 
-def _classify_words(words: tuple[str, ...], functions: frozenset[str]) -> Classified:
-    # The tokenizer gives "LOCK TABLES" as one token.
+def _classify_words(
+    words: tuple[str, ...], functions: frozenset[str]
+) -> Classification:
+    # The tokenizer returns "LOCK TABLES" as one token.
     first = words[0].split()[0] if words[0] != "(" else "SELECT"
     match first:
         case "BEGIN":
-            return Classified(StatementKind.BEGIN)
+            return Classification(StatementKind.BEGIN)
         case "START":
             return _classify_start(words)
         case "COMMIT":
-            return Classified(StatementKind.COMMIT)
+            return Classification(StatementKind.COMMIT)
         case "ROLLBACK" if "TO" not in words:
-            return Classified(StatementKind.ROLLBACK)
+            return Classification(StatementKind.ROLLBACK)
         case "SET":
             return _classify_set(words)
         case "USE":
-            return Classified(StatementKind.USE, ("".join(words[1:]).strip("`"),))
+            return Classification(StatementKind.USE, ("".join(words[1:]).strip("`"),))
         case "CREATE" if "TEMPORARY" in words:
             return _unsupported("a temporary table")
-        case _ if first in DDL_WORDS:
-            return Classified(StatementKind.DDL)
-        case _ if first in UNSUPPORTED_WORDS:
+        case _ if first in DDL_KEYWORDS:
+            return Classification(StatementKind.DDL)
+        case _ if first in UNSUPPORTED_KEYWORDS:
             return _unsupported(first)
-    is_plain = first in READ_WORDS and WRITING_WORDS.isdisjoint(words)
+    is_plain = first in READ_KEYWORDS and WRITE_KEYWORDS.isdisjoint(words)
     if is_plain and functions <= PURE_FUNCTIONS:
-        return Classified(StatementKind.READ)
-    return Classified(StatementKind.WRITE)
+        return Classification(StatementKind.READ)
+    return Classification(StatementKind.WRITE)
 
 
-def _classify_start(words: tuple[str, ...]) -> Classified:
+def _classify_start(words: tuple[str, ...]) -> Classification:
     if words[1:2] != ("TRANSACTION",):
         return _unsupported(" ".join(words[:2]))
     if "ONLY" in words:
-        return Classified(StatementKind.BEGIN_READ_ONLY)
-    return Classified(StatementKind.BEGIN)
+        return Classification(StatementKind.BEGIN_READ_ONLY)
+    return Classification(StatementKind.BEGIN)
 
 
-def _classify_set(words: tuple[str, ...]) -> Classified:
+def _classify_set(words: tuple[str, ...]) -> Classification:
     rest = [word for word in words[1:] if word not in {"@@", ".", "SESSION", "LOCAL"}]
     if not rest or rest[0] == "GLOBAL":
         return _unsupported("SET GLOBAL")
@@ -134,11 +136,11 @@
     if variable == "autocommit":
         value = rest[-1]
         if value in TRUE_VALUES:
-            return Classified(StatementKind.AUTOCOMMIT_ON)
+            return Classification(StatementKind.AUTOCOMMIT_ON)
         if value in FALSE_VALUES:
-            return Classified(StatementKind.AUTOCOMMIT_OFF)
+            return Classification(StatementKind.AUTOCOMMIT_OFF)
     if variable in IGNORED_VARIABLES:
-        return Classified(StatementKind.IGNORED)
+        return Classification(StatementKind.IGNORED)
     return _unsupported(f"setting {variable}")
 
 
@@ -149,7 +151,7 @@
         if following == "("
         and token.token_type not in LITERAL_TOKENS
         and word[:1] not in PUNCTUATION
-        and word not in GROUPING_WORDS
+        and word not in NON_FUNCTION_KEYWORDS
     )
 
 
@@ -167,5 +169,5 @@
     return token.text.upper()
 
 
-def _unsupported(what: str) -> Classified:
-    return Classified(StatementKind.UNSUPPORTED, (what,))
+def _unsupported(what: str) -> Classification:
+    return Classification(StatementKind.UNSUPPORTED, (what,))
--- a/packages/gateway/src/dogwoodspool_gateway/connection.py
+++ b/packages/gateway/src/dogwoodspool_gateway/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reads requests, hands them on, writes answers."""
+"""Connection of a caller: reads requests, runs them and writes the answers."""
 
 import asyncio
 import io
@@ -47,21 +47,21 @@
     read_execution,
 )
 from .properties import parse_properties, split_comment
-from .refusals import broken_off_answer, busy_answer, refusal, shutdown_answer
+from .refusals import busy_answer, interrupted_result_answer, refusal, shutdown_answer
 from .results import Row, binary_columns, binary_row, text_columns
 from .stream import CallerStream
 from .workers import WorkerPool
 
 RowEncoder = Callable[[Row], bytes]
-Fetched = FetchedRows | DoneAnswer | ErrorAnswer
+FetchedAnswer = FetchedRows | DoneAnswer | ErrorAnswer
 ERROR_SQLSTATE = slice(4, 9)
 
 
 class CallerConnection(Connection):
-    """Serve one caller.
+    """Serve the connection of a caller.
 
-    Statements run in the worker pool, one at a time for each connection; the
-    event loop only reads and writes packets.
+    Statements run in the worker pool, one at a time per connection; the event loop
+    only reads and writes packets.
     """
 
     def __init__(
@@ -73,7 +73,8 @@
         clock: Clock,
         **kwargs: Any,
     ) -> None:
-        # It has the methods of the library's class, which takes no subclass.
+        # ``CallerStream`` has the methods of ``MysqlStream``, which cannot be
+        # subclassed.
         super().__init__(cast(MysqlStream, stream), **kwargs)
         self._caller_stream = stream
         self._sessions = sessions
@@ -87,7 +88,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is being answered and no transaction is open."""
+        """Return whether no request is being answered and no transaction is open."""
         return not self._is_busy and not self._in_transaction
 
     @property
@@ -95,16 +96,17 @@
         return self._caller is not None and self._caller.in_transaction
 
     def start_draining(self) -> None:
-        """Refuse what comes from now on, but let an open transaction end."""
+        """Refuse new requests except those of an open transaction."""
         self._is_draining = True
 
     async def end_idle(self) -> None:
-        """Close a connection that is idle during a shutdown.
+        """Close an idle connection with an error that reports requests as not run.
 
-        A request may be on its way while the proxy closes, and its caller could
-        not tell whether it ran. The error below has the sequence number of an
-        answer, so whatever the caller sent or sends next is answered with it,
-        and it is true: nothing is read from this connection any more.
+        A request may be in flight while the proxy closes the connection, and its
+        caller could not tell whether it ran. The error packet has the sequence
+        number of a response, so the caller reads it as the response to its current
+        or next request. The error is correct, because nothing more is read from
+        this connection.
         """
         if self._is_ended:
             return
@@ -117,16 +119,17 @@
     async def authenticate(self, *args: Any, **kwargs: Any) -> None:
         """Check the caller's name and password.
 
-        The library writes the refusal and goes on to the command phase, where
-        a refused caller could send statements; so the connection ends here.
+        After a failed authentication the library sends the error and continues with
+        the command phase, where the caller could send statements. The connection is
+        therefore ended here.
         """
         self.session.username = None
         await super().authenticate(*args, **kwargs)
         if self.session.username is None:
-            raise CallerNotAuthenticatedError("the caller was refused")
+            raise CallerNotAuthenticatedError("the caller's authentication failed")
 
     async def command_phase(self) -> None:
-        """Open the caller's session, serve its requests, give all back."""
+        """Open the caller's session, serve its requests and close the session."""
         self._caller_stream.end_handshake()
         self._caller = self._sessions.open(str(self.session.username))
         try:
@@ -138,28 +141,29 @@
                 ErrorAnswer(Outcome.NOT_RUN, *ER_NET_PACKET_TOO_LARGE, str(error))
             )
         finally:
-            # The pool may be full of waiting statements; giving back must not
-            # wait behind them, so it has a thread of its own.
+            # Closing the session releases resources and must not wait for a worker,
+            # since all workers may hold waiting statements. It therefore runs in the
+            # default executor.
             await asyncio.get_running_loop().run_in_executor(None, self._caller.close)
 
     async def handle_init_db(self, data: bytes) -> None:
-        """Choose the database group."""
+        """Select the database group."""
         answer = await self._use(self.client_charset.decode(data))
         await self._write_outcome(answer or DoneAnswer())
 
     async def handle_reset_connection(self, data: bytes) -> None:
-        """Roll back and forget what the connection has set."""
+        """Roll back and reset the connection's session state."""
         await self._reset_caller()
         await self.stream.write(self.ok())
 
     async def handle_change_user(self, data: bytes) -> None:
-        """Become another caller."""
+        """Reset the session and authenticate as another caller."""
         await self._reset_caller()
         await super().handle_change_user(data)
 
     async def handle_query(self, data: bytes) -> None:
-        """Serve one statement of the text protocol."""
-        with self._answering():
+        """Serve a statement of the text protocol."""
+        with self._mark_busy():
             await self._serve_query(data)
 
     async def _serve_query(self, data: bytes) -> None:
@@ -177,11 +181,14 @@
             await self._write_outcome(answer)
 
     async def handle_stmt_prepare(self, data: bytes) -> None:
-        """Remember a statement; it is sent as text when it is executed."""
+        """Store a prepared statement; it is sent as text on execution."""
         sql = self.client_charset.decode(data)
         if len(self.prepared_stmts) >= MAX_PREPARED_STATEMENTS:
             await self._write_error(
-                refusal(ER_NOT_SUPPORTED, "too many prepared statements")
+                refusal(
+                    ER_NOT_SUPPORTED,
+                    f"more than {MAX_PREPARED_STATEMENTS} prepared statements",
+                )
             )
             return
         try:
@@ -196,8 +203,8 @@
         await self.stream.drain()
 
     async def handle_stmt_execute(self, data: bytes) -> None:
-        """Serve one execution of a prepared statement."""
-        with self._answering():
+        """Serve an execution of a prepared statement."""
+        with self._mark_busy():
             await self._serve_execute(data)
 
     async def _serve_execute(self, data: bytes) -> None:
@@ -221,7 +228,7 @@
             await self._write_outcome(answer)
 
     @contextmanager
-    def _answering(self) -> Iterator[None]:
+    def _mark_busy(self) -> Iterator[None]:
         """Mark the connection as busy until its answer is written."""
         self._is_busy = True
         try:
@@ -239,7 +246,7 @@
         await asyncio.get_running_loop().run_in_executor(None, self._caller.reset)
         self._refresh_status()
 
-    async def _run(self, sql: str, attributes: dict[str, Any]) -> Fetched:
+    async def _run(self, sql: str, attributes: dict[str, Any]) -> FetchedAnswer:
         arrived_at = self._clock.now()
         if self._is_draining and not self._in_transaction:
             return shutdown_answer()
@@ -253,7 +260,7 @@
         self._refresh_status()
         return answer if answer is not None else busy_answer()
 
-    def _run_traced(self, request: StatementRequest) -> Fetched:
+    def _run_traced(self, request: StatementRequest) -> FetchedAnswer:
         assert self._caller is not None
         with span(
             "gateway.statement",
@@ -268,34 +275,34 @@
     async def _write_rows(
         self, rows: FetchedRows, columns: Sequence[ResultColumn], encode: RowEncoder
     ) -> None:
-        """Send a result set batch by batch.
+        """Send a result set in batches.
 
-        Each batch is taken only after the caller has taken the one before, so
-        that a large result needs the memory of one batch.
+        A batch is fetched only after the caller has received the previous one, so
+        that a large result needs only the memory of one batch.
         """
         try:
             self.stream.write_many(self._header_packets(columns))
             self.stream.write_many([encode(row) for row in rows.batch])
             while not rows.is_finished:
                 await self._drain_within(CALLER_STALL_SECONDS)
-                await self._workers.run_always(rows.take)
+                await self._workers.run_admitted(rows.fetch_batch)
                 self.stream.write_many([encode(row) for row in rows.batch])
         finally:
             if not rows.is_finished:
-                await self._workers.run_always(rows.abandon)
+                await self._workers.run_admitted(rows.abandon)
             self._refresh_status()
         if rows.failure is None:
             await self.stream.write(self.ok_or_eof())
             return
-        # The protocol lets an error packet stand in a row's place, so the caller
-        # does not take the rows that came for the whole answer.
-        await self._write_error(broken_off_answer())
+        # The protocol allows an error packet in place of a row, so the caller does
+        # not mistake the rows received so far for the complete result.
+        await self._write_error(interrupted_result_answer())
 
     async def _drain_within(self, seconds: float) -> None:
-        """Wait until the caller has taken what was written.
+        """Wait for the caller to receive data; raise ``ConnectionClosed`` on timeout.
 
-        A caller that stops reading in the middle of a result would hold a scarce
-        connection to a backend server for as long as it likes.
+        Otherwise a caller that stops reading in the middle of a result would hold a
+        scarce connection to a backend server indefinitely.
         """
         try:
             await asyncio.wait_for(self.stream.drain(), seconds)
@@ -331,7 +338,7 @@
 
     async def _write_error(self, answer: ErrorAnswer) -> None:
         packet = bytearray(self.error(msg=answer.text(), code=answer.number))
-        # The library knows the SQLSTATE of a few numbers only.
+        # The library maps only a few error numbers to their SQLSTATE.
         if Capabilities.CLIENT_PROTOCOL_41 in self.capabilities:
             packet[ERROR_SQLSTATE] = answer.sqlstate.encode("ascii")
         await self.stream.write(bytes(packet))
--- a/packages/gateway/src/dogwoodspool_gateway/const.py
+++ b/packages/gateway/src/dogwoodspool_gateway/const.py
@@ -1,4 +1,4 @@
-"""Constants of the callers' protocol."""
+"""Constants of the gateway."""
 
 from typing import Final
 
@@ -17,7 +17,7 @@
 CLASSIFY_CACHE_SIZE: Final = 4_096
 ROWS_PER_BATCH: Final = 512
 
-# A request to go on encrypted has 36 bytes; see ``CallerStream``.
+# Size of the TLS request packet (36 bytes); see ``CallerStream``.
 TLS_REQUEST_BYTES: Final = 36
 HANDSHAKE_READ_LIMIT: Final = TLS_REQUEST_BYTES // 2 - 1
 COMMAND_READ_LIMIT: Final = 64 * 1024
@@ -30,7 +30,7 @@
 BUSY_RETRY_AFTER_MS: Final = 50
 SHUTDOWN_RETRY_AFTER_MS: Final = 0
 
-# MySQL's error numbers with their SQLSTATE.
+# MySQL error numbers with their SQLSTATE.
 ER_NO_DATABASE: Final = (1046, "3D000")
 ER_SHUTDOWN: Final = (1053, "08S01")
 ER_PARSE: Final = (1064, "42000")
--- a/packages/gateway/src/dogwoodspool_gateway/errors.py
+++ b/packages/gateway/src/dogwoodspool_gateway/errors.py
@@ -1,23 +1,23 @@
-"""Errors of the callers' protocol."""
+"""Errors of the gateway."""
 
 from dogwoodspool_common import DogwoodspoolError
 
 
 class GatewayError(DogwoodspoolError):
-    """Base of the gateway's errors."""
+    """Base class of the gateway's errors."""
 
 
 class BadRequestPropertyError(GatewayError):
-    """Report a request property whose value is no value of its kind."""
+    """Report a request property with an invalid value."""
 
 
 class PacketTooLargeError(GatewayError):
-    """Report a caller's packet above the size limit."""
+    """Report a request from a caller that exceeds the size limit."""
 
 
 class CallerNotAuthenticatedError(GatewayError):
-    """Report a caller whose name or password was refused."""
+    """Report a caller whose authentication failed."""
 
 
 class CallerLimitError(GatewayError):
-    """Report that the proxy holds all the caller connections it may."""
+    """Report that the proxy has reached its limit of caller connections."""
--- a/packages/gateway/src/dogwoodspool_gateway/fetched.py
+++ b/packages/gateway/src/dogwoodspool_gateway/fetched.py
@@ -1,4 +1,4 @@
-"""Rows of an answer, taken from the backend server batch by batch."""
+"""Rows of a result set, fetched from the backend server in batches."""
 
 from itertools import islice
 
@@ -10,15 +10,15 @@
 
 
 class FetchedRows:
-    """A result set with its next batch of rows at hand.
+    """Fetch a result set in batches.
 
-    The first batch is taken in the thread that ran the statement. A short result
-    is complete with it, so that the statement changes threads only once; each
-    change costs more than the rows do.
+    The first batch is fetched in the thread that ran the statement. A short result
+    is complete after it, so that its statement changes threads only once; each
+    change of threads costs more than fetching the rows.
 
     Attributes:
-        batch: rows that were taken and not written yet.
-        failure: why the rows broke off; None where they did not.
+        batch: rows that were fetched and not yet written.
+        failure: error that interrupted the result; None if there was none.
     """
 
     def __init__(self, answer: RowsAnswer) -> None:
@@ -26,20 +26,20 @@
         self._is_finished = False
         self.batch: list[Row] = []
         self.failure: DogwoodspoolError | None = None
-        self.take()
+        self.fetch_batch()
 
     @property
     def columns(self) -> tuple[AnswerColumn, ...]:
-        """The columns in order."""
+        """Return the columns in order."""
         return self._answer.columns
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether no rows come after the batch at hand."""
+        """Return whether there are no rows after the current batch."""
         return self._is_finished
 
-    def take(self) -> None:
-        """Take the next batch; blocks until the backend server has sent it."""
+    def fetch_batch(self) -> None:
+        """Fetch the next batch; blocks until the backend server has sent it."""
         try:
             self.batch = list(islice(self._answer.rows, ROWS_PER_BATCH))
         except DogwoodspoolError as error:
@@ -52,7 +52,7 @@
             self._finish(True)
 
     def abandon(self) -> None:
-        """Give up the rows that were not taken, as when the caller is gone."""
+        """Discard the rows that were not fetched, for example if the caller left."""
         self._finish(False)
 
     def _finish(self, is_complete: bool) -> None:
--- a/packages/gateway/src/dogwoodspool_gateway/words.py
+++ b/packages/gateway/src/dogwoodspool_gateway/keywords.py
@@ -1,13 +1,16 @@
-"""Words of the SQL dialect that decide what a statement means."""
+"""Keywords and functions of the SQL dialect used to classify statements."""
 
 from typing import Final
 
-READ_WORDS: Final = frozenset({"SELECT", "WITH", "SHOW", "DESC", "DESCRIBE", "EXPLAIN"})
-# One of these anywhere outside strings makes a statement more than a plain read.
-WRITING_WORDS: Final = frozenset(
+READ_KEYWORDS: Final = frozenset(
+    {"SELECT", "WITH", "SHOW", "DESC", "DESCRIBE", "EXPLAIN"}
+)
+# A statement with one of these keywords outside of strings is not a plain read.
+WRITE_KEYWORDS: Final = frozenset(
     {"INTO", "FOR", "LOCK", "INSERT", "UPDATE", "DELETE", "REPLACE", "CALL", "ANALYZE"}
 )
-# Functions without effect; any other may be a stored function that writes.
+# Functions without side effects. Any other function may be a stored function that
+# writes.
 PURE_FUNCTIONS: Final = frozenset(
     """
     ABS ADDDATE ANY_VALUE ASCII AVG BIN BIT_AND BIT_OR BIT_XOR CAST CEIL CEILING
@@ -27,15 +30,16 @@
     WEEKDAY YEAR ZEROBLOB
     """.split()  # noqa: SIM905 - a word list reads better as text.
 )
-# Words that may stand before a parenthesis without being a function.
-GROUPING_WORDS: Final = frozenset(
+# Keywords that may precede a parenthesis without being a function name.
+NON_FUNCTION_KEYWORDS: Final = frozenset(
     """
     ALL AND ANY AS BETWEEN BY CASE DISTINCT ELSE EXCEPT EXISTS FROM HAVING IN
     INTERSECT IS JOIN LIKE NOT OFFSET ON OR OVER PARTITION REGEXP RLIKE SELECT SOME
     THEN UNION USING VALUES WHEN WHERE WITH XOR DIV INTERVAL LIMIT RECURSIVE
     """.split()  # noqa: SIM905 - a word list reads better as text.
 )
-# Session variables that drivers set on connect and whose default serves.
+# Session variables that drivers set on connect. The proxy ignores the new values,
+# since the defaults are sufficient.
 IGNORED_VARIABLES: Final = frozenset(
     {
         "names",
@@ -62,9 +66,9 @@
         "transaction",
     }
 )
-# Statements that commit by themselves and cannot be undone.
-DDL_WORDS: Final = frozenset({"CREATE", "ALTER", "DROP", "TRUNCATE", "RENAME"})
-UNSUPPORTED_WORDS: Final = frozenset(
+# Statements that commit implicitly and cannot be rolled back.
+DDL_KEYWORDS: Final = frozenset({"CREATE", "ALTER", "DROP", "TRUNCATE", "RENAME"})
+UNSUPPORTED_KEYWORDS: Final = frozenset(
     {
         "LOCK",
         "UNLOCK",
--- a/packages/gateway/src/dogwoodspool_gateway/listener.py
+++ b/packages/gateway/src/dogwoodspool_gateway/listener.py
@@ -1,4 +1,4 @@
-"""The port where callers connect."""
+"""Listener for the callers' connections."""
 
 import asyncio
 import math
@@ -27,9 +27,9 @@
 
 
 class CallerListener:
-    """Accept callers and serve each connection in one coroutine.
+    """Accept callers and serve each connection in a coroutine.
 
-    The event loop runs in a thread of its own and is not seen outside of this
+    The event loop runs in a separate thread and is not exposed outside this
     library.
     """
 
@@ -43,7 +43,7 @@
         workers: int = DEFAULT_WORKERS,
         max_callers: int = DEFAULT_MAX_CALLERS,
     ) -> None:
-        self._wanted = address
+        self._bind_address = address
         self._sessions = sessions
         self._clock = clock
         self._tls = tls
@@ -60,41 +60,45 @@
 
     @property
     def address(self) -> Address:
-        """The address in use, with the real port where 0 was asked for."""
+        """Return the listening address, with the assigned port if 0 was requested."""
         if self._server is None:
-            return self._wanted
-        return Address(self._wanted.host, self._server.sockets[0].getsockname()[1])
+            return self._bind_address
+        return Address(
+            self._bind_address.host, self._server.sockets[0].getsockname()[1]
+        )
 
     @property
     def callers(self) -> int:
-        """The number of open caller connections."""
+        """Return the number of open caller connections."""
         return len(self._connections)
 
     def set_up(self) -> None:
-        """Begin to accept callers."""
+        """Start accepting callers."""
         self._thread.start()
         self._call(self._start()).result(START_TIMEOUT_SECONDS)
 
     def drain(self, timeout: float) -> bool:
-        """End serving without cutting a request.
+        """Stop serving without interrupting requests.
 
-        No connection is accepted any more. Requests and transactions in flight
-        end; later requests are refused as not run; idle connections are closed.
+        New connections are not accepted. Requests and transactions in flight are
+        completed, later requests are refused as not run, and idle connections are
+        closed.
 
         Args:
-            timeout: seconds after which connections still in use are cut.
+            timeout: time limit in seconds; connections that are still open then
+                remain until ``unload``.
 
         Returns:
-            Whether every connection ended by itself.
+            Whether all connections were closed within the time limit.
         """
         return self._call(self._drain(timeout)).result()
 
     def close_idle(self, share: float) -> int:
-        """Close idle connections, at most a share of all; return how many."""
+        """Close idle connections, at most a share of all; return the number closed."""
         return self._call(self._close_idle(share)).result()
 
     def unload(self) -> None:
-        """Close what is left and stop the loop."""
+        """Close the remaining connections and stop the event loop."""
         self._call(self._stop()).result(START_TIMEOUT_SECONDS)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -106,8 +110,8 @@
     async def _start(self) -> None:
         self._server = await asyncio.start_server(
             self._serve,
-            self._wanted.host,
-            self._wanted.port,
+            self._bind_address.host,
+            self._bind_address.port,
             backlog=1024,
             limit=HANDSHAKE_READ_LIMIT,
         )
@@ -126,8 +130,8 @@
         return not self._connections
 
     async def _close_idle(self, share: float) -> int:
-        wanted = math.ceil(len(self._connections) * share)
-        idle = [one for one in self._connections if one.is_idle][:wanted]
+        max_closed = math.ceil(len(self._connections) * share)
+        idle = [one for one in self._connections if one.is_idle][:max_closed]
         for connection in idle:
             await connection.end_idle()
         return len(idle)
--- a/packages/gateway/src/dogwoodspool_gateway/models.py
+++ b/packages/gateway/src/dogwoodspool_gateway/models.py
@@ -1,4 +1,4 @@
-"""Data classes between the gateway and those who run statements."""
+"""Data models and protocols between the gateway and the code that runs statements."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class Outcome(StrEnum):
-    """How a request that did not succeed ended; error messages begin with it."""
+    """Outcome of a request that did not succeed; error messages begin with it."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -15,7 +15,7 @@
 
 
 class StatementKind(StrEnum):
-    """What a statement means to the proxy."""
+    """Kind of a statement, which determines how the proxy handles it."""
 
     READ = auto()
     WRITE = auto()
@@ -33,13 +33,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Classified:
-    """A statement's kind with what the kind needs.
+class Classification:
+    """Classification of a statement.
 
     Attributes:
-        kind: what the statement means to the proxy.
+        kind: kind of the statement.
         names: variables and functions of a local select, the database of a
-            ``USE``, or the reason of an unsupported statement.
+            ``USE``, or the unsupported element of an unsupported statement.
     """
 
     kind: StatementKind
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestProperties:
-    """What a caller states about one request; None where it says nothing."""
+    """Properties that a caller set for a request; None if not set."""
 
     session: str | None = None
     request_id: str | None = None
@@ -60,24 +60,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementRequest:
-    """One statement of a caller.
+    """Statement sent by a caller.
 
     Attributes:
-        sql: the statement without its properties' comment.
-        classified: what it means to the proxy.
-        properties: what the caller states about it.
-        arrived_at: clock time in seconds at which it was read.
+        sql: the statement without the comment that holds its properties.
+        classified: classification of the statement.
+        properties: properties set by the caller.
+        arrived_at: clock time in seconds at which the request was read.
     """
 
     sql: str
-    classified: Classified
+    classified: Classification
     properties: RequestProperties
     arrived_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerColumn:
-    """A column of an answer, as the backend server described it."""
+    """Column of an answer, as reported by the backend server."""
 
     name: str
     type_code: int
@@ -86,13 +86,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsAnswer:
-    """A result set; rows may still be arriving.
+    """Result set whose rows may still be arriving.
 
     Attributes:
         columns: the columns in order.
         rows: raw values of the text protocol, None for NULL.
-        finish: called exactly once when all rows were taken (True) or the
-            caller went away before (False).
+        finish: called exactly once, with True after all rows were fetched or with
+            False if the result was abandoned or interrupted before that.
     """
 
     columns: tuple[AnswerColumn, ...]
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DoneAnswer:
-    """The end of a statement without a result set."""
+    """Successful completion of a statement without a result set."""
 
     affected_rows: int = 0
     last_insert_id: int = 0
@@ -110,14 +110,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """A request that did not succeed.
+    """Error response to a request.
 
     Attributes:
-        outcome: whether it ran.
+        outcome: whether the request ran.
         number: MySQL error number.
-        sqlstate: five characters.
-        message: reason in words, without the outcome.
-        retry_after_ms: when to come back; None where coming back does not help.
+        sqlstate: five-character SQLSTATE.
+        message: description of the error, without the outcome.
+        retry_after_ms: delay in milliseconds before a retry; None if a retry does
+            not help.
     """
 
     outcome: Outcome
@@ -127,7 +128,7 @@
     retry_after_ms: int | None = None
 
     def text(self) -> str:
-        """Return the message as callers see it."""
+        """Return the error message sent to the caller."""
         if self.retry_after_ms is None:
             return f"{self.outcome}: {self.message}"
         return f"{self.outcome}: retry_after_ms={self.retry_after_ms} {self.message}"
@@ -137,40 +138,42 @@
 
 
 class CallerSession(Protocol):
-    """What runs one caller connection's statements, one at a time.
+    """Run the statements of a caller's connection, one at a time.
 
-    All methods may block and are called in a thread of the gateway's pool.
+    ``run`` may block and is called in a thread of the gateway's worker pool.
+    ``reset`` and ``close`` may block and are called in other threads. ``use`` is
+    called in the event loop and must not block.
     """
 
     @property
     def in_transaction(self) -> bool:
-        """Tell whether a transaction is open."""
+        """Return whether a transaction is open."""
         ...
 
     @property
     def is_autocommit(self) -> bool:
-        """Tell whether each statement commits by itself."""
+        """Return whether autocommit is on."""
         ...
 
     def use(self, database: str) -> ErrorAnswer | None:
-        """Choose the database group."""
+        """Select the database group."""
         ...
 
     def run(self, request: StatementRequest) -> Answer:
-        """Run one statement."""
+        """Run a statement."""
         ...
 
     def reset(self) -> None:
-        """Roll back and forget what the connection has set."""
+        """Roll back and reset the connection's session state."""
         ...
 
     def close(self) -> None:
-        """Roll back and give everything back."""
+        """Roll back and release all resources."""
         ...
 
 
 class SessionFactory(Protocol):
-    """Make the session of a new caller connection."""
+    """Create sessions of new caller connections and look up password hashes."""
 
     def open(self, user: str) -> CallerSession:
         """Return a session for an authenticated caller."""
--- a/packages/gateway/src/dogwoodspool_gateway/prepared.py
+++ b/packages/gateway/src/dogwoodspool_gateway/prepared.py
@@ -1,8 +1,8 @@
-"""Parameters of prepared statements, put into the statement's text safely.
+"""Safe interpolation of parameters into prepared statements.
 
-The library that reads the packets puts strings between quotes without escaping
-them, so a parameter with a quote would change the statement. Here every value is
-escaped, and placeholders are found by the tokenizer, not inside strings.
+The protocol library quotes strings without escaping them, so a parameter that
+contains a quote would change the statement. This module escapes every value and
+finds placeholders with the tokenizer, which ignores those inside strings.
 """
 
 import io
@@ -23,28 +23,28 @@
 
 
 class PlaceholderError(GatewayError):
-    """Report a statement whose placeholders cannot be found."""
+    """Report a statement whose placeholders cannot be determined."""
 
 
 def placeholder_offsets(sql: str) -> list[int]:
-    """Return where the statement's placeholders stand.
+    """Return the offsets of the statement's placeholders.
 
     Raises:
-        PlaceholderError: the statement cannot be read.
+        PlaceholderError: the statement cannot be tokenized.
     """
     if "?" not in sql:
         return []
     try:
         tokens = tokenize(sql, read="mysql")
     except SqlglotError as error:
-        raise PlaceholderError("the statement cannot be read") from error
+        raise PlaceholderError("the statement cannot be tokenized") from error
     return [
         token.start for token in tokens if token.token_type is TokenType.PLACEHOLDER
     ]
 
 
 def interpolate(sql: str, values: Sequence[Any]) -> str:
-    """Put values in place of the placeholders.
+    """Replace the placeholders with escaped values.
 
     Example:
         >>> interpolate("SELECT ? + ?", [1, "x"])
@@ -69,7 +69,7 @@
     """Return the parameters and query attributes of an execution.
 
     Raises:
-        MysqlError: the packet asks for a cursor or cannot be read.
+        MysqlError: the packet requests a cursor or cannot be parsed.
     """
     reader = io.BytesIO(data)
     types.read_uint_4(reader)
@@ -83,12 +83,14 @@
         count = types.read_uint_len(reader)
     if not count:
         return [], {}
-    read = packets._read_params(
+    parameters = packets._read_params(
         capabilities,
         charset,
         reader,
         count,
         statement.param_buffers,
     )
-    values = [value for _, value in read[: statement.num_params]]
-    return values, {name: value for name, value in read[statement.num_params :] if name}
+    values = [value for _, value in parameters[: statement.num_params]]
+    return values, {
+        name: value for name, value in parameters[statement.num_params :] if name
+    }
--- a/packages/gateway/src/dogwoodspool_gateway/properties.py
+++ b/packages/gateway/src/dogwoodspool_gateway/properties.py
@@ -1,4 +1,4 @@
-"""Per-request properties from query attributes and sqlcommenter comments."""
+"""Request properties from query attributes and sqlcommenter comments."""
 
 import re
 from collections.abc import Mapping
@@ -27,11 +27,11 @@
 
 
 def split_comment(sql: str) -> tuple[str, dict[str, str]]:
-    """Split a statement from its sqlcommenter comment.
+    """Separate a statement from its sqlcommenter comments.
 
     Returns:
-        The statement without the comment and the comment's pairs. A comment of
-        another kind stays part of the statement.
+        The statement without the comments and their key-value pairs. Other comments
+        remain part of the statement.
 
     Example:
         >>> split_comment("SELECT 1 /*max_age_ms='500'*/")
@@ -50,10 +50,10 @@
 
 
 def parse_properties(values: Mapping[str, object]) -> RequestProperties:
-    """Validate properties; unknown names are other tools' and are ignored.
+    """Validate properties; unknown names belong to other tools and are ignored.
 
     Raises:
-        BadRequestPropertyError: a known name has a value of no use.
+        BadRequestPropertyError: a known property has an invalid value.
     """
     return RequestProperties(
         session=_text(values, ATTR_SESSION),
@@ -83,8 +83,8 @@
         return None
     if len(text) > MAX_REQUEST_ID_LENGTH or not _REQUEST_ID.fullmatch(text):
         raise BadRequestPropertyError(
-            f"{ATTR_REQUEST_ID} takes 1 to {MAX_REQUEST_ID_LENGTH} letters, digits "
-            "and the characters . : _ -"
+            f"{ATTR_REQUEST_ID} must have 1 to {MAX_REQUEST_ID_LENGTH} letters, digits "
+            "or characters of . : _ -"
         )
     return text
 
@@ -94,7 +94,7 @@
     if text is None:
         return None
     if text.lower() not in _BOOLEANS:
-        raise BadRequestPropertyError(f"{name} takes true or false")
+        raise BadRequestPropertyError(f"{name} must be true or false")
     return _BOOLEANS[text.lower()]
 
 
@@ -103,5 +103,5 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise BadRequestPropertyError(f"{name} takes a whole number of milliseconds")
+        raise BadRequestPropertyError(f"{name} must be a whole number of milliseconds")
     return int(text)
--- a/packages/gateway/src/dogwoodspool_gateway/results.py
+++ b/packages/gateway/src/dogwoodspool_gateway/results.py
@@ -1,4 +1,4 @@
-"""Columns of answers in the gateway library's terms."""
+"""Conversion of result columns and rows to the types of the protocol library."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 def text_columns(columns: Sequence[AnswerColumn]) -> list[ResultColumn]:
-    """Describe columns whose values go on exactly as the backend sent them."""
+    """Describe columns whose values are forwarded as sent by the backend server."""
     return [
         ResultColumn(
             name=column.name,
@@ -31,7 +31,7 @@
 
 
 def binary_columns(columns: Sequence[AnswerColumn]) -> list[ResultColumn]:
-    """Describe columns of a prepared statement's answer."""
+    """Describe columns of a prepared statement's result."""
     return [
         ResultColumn(
             name=column.name,
@@ -43,7 +43,7 @@
 
 
 def binary_row(row: Row, columns: Sequence[AnswerColumn]) -> list[Any]:
-    """Turn the text values of a row into values of the binary protocol."""
+    """Convert the text values of a row to values of the binary protocol."""
     return [
         _binary_value(value, column) for value, column in zip(row, columns, strict=True)
     ]
--- a/packages/gateway/src/dogwoodspool_gateway/session.py
+++ b/packages/gateway/src/dogwoodspool_gateway/session.py
@@ -1,13 +1,14 @@
-"""The gateway library's session object: only what its connection asks for."""
+"""Session object required by the connections of the protocol library."""
 
 from mysql_mimic.session import BaseSession
 from mysql_mimic.variables import GlobalVariables, SessionVariables
 
 
 class ProtocolSession(BaseSession):
-    """Hold the connection's charset variables, name and database.
+    """Hold the connection's charset variables, user name and database.
 
-    Statements never reach it: ``CallerConnection`` answers them itself.
+    ``CallerConnection`` answers all statements itself and does not pass them on to
+    this session.
     """
 
     def __init__(self) -> None:
--- a/packages/gateway/src/dogwoodspool_gateway/stream.py
+++ b/packages/gateway/src/dogwoodspool_gateway/stream.py
@@ -1,4 +1,4 @@
-"""A caller's byte stream with a bound on the size of one packet."""
+"""Packet stream of a caller with a limit on the size of a request."""
 
 import struct
 from asyncio import StreamReader, StreamWriter
@@ -22,19 +22,19 @@
 
 
 class CallerStream:
-    """Packets from and to one caller.
-
-    The library's own reader joins packets without a bound, so that one caller
-    could fill the proxy's memory, and it takes a header cut short for a
-    malformed one. This reader refuses the first and ends on the second. The
-    library's class is compiled and takes no subclass, so its writing half is
-    called from here.
-
-    A caller that wants TLS sends its request for it and right behind it the first
-    TLS record. Were both read at once, the record would lie in the plain reader
-    and the handshake would fail, for the faster callers only. So until the
-    handshake has ended no more than the request's size is received at a time, and
-    the reader pauses its transport once it holds that much.
+    """Read packets from a caller and write packets to it.
+
+    The library's reader joins packets without a size limit, so that a caller could
+    exhaust the proxy's memory, and it reports a truncated header as malformed. This
+    reader rejects oversized requests and treats a truncated header as the end of the
+    connection. The library's class is compiled and cannot be subclassed, so its
+    write methods are called from here.
+
+    A caller that uses TLS sends the TLS request and directly after it the first TLS
+    record. If both were read at once, the record would remain in the unencrypted
+    reader's buffer and the handshake would fail, but only for fast callers. Until
+    the end of the handshake, no more than the size of the TLS request is therefore
+    received at a time, and the reader pauses its transport when it holds that much.
     """
 
     def __init__(
@@ -49,52 +49,52 @@
         _receive_at_most(writer, TLS_REQUEST_BYTES)
 
     def end_handshake(self) -> None:
-        """Receive as much at a time as there is."""
+        """Raise the receive limits that apply during the handshake."""
         reader = self._stream.reader
         reader._limit = COMMAND_READ_LIMIT  # type: ignore[attr-defined]
         _receive_at_most(self._stream.writer, COMMAND_RECEIVE_BYTES)
 
     @property
     def seq(self) -> Iterator[int]:
-        """The sequence numbers of packets, shared by both directions."""
+        """Return the sequence numbers of packets, shared by both directions."""
         return self._stream.seq
 
     async def write(self, data: bytes, drain: bool = True) -> None:
-        """Send one packet."""
+        """Send a packet."""
         await self._stream.write(data, drain)
 
     def write_many(self, packets: Sequence[bytes]) -> None:
-        """Buffer packets."""
+        """Write packets to the send buffer."""
         self._stream.write_many(packets)
 
     async def drain(self) -> None:
-        """Send what is buffered and wait until the caller takes it."""
+        """Send the buffered data and wait until the caller receives it."""
         await self._stream.drain()
 
     async def start_tls(self, context: SSLContext) -> None:
-        """Go on encrypted."""
-        # The encrypted transport is known to the reader only at the end of the
-        # call below. Were the reader to pause before, it would pause the plain one
-        # and go on with the other, and the connection would stand still.
+        """Switch the connection to TLS."""
+        # The reader learns about the encrypted transport only at the end of the call
+        # below. If the reader paused before that, it would pause the unencrypted
+        # transport and later resume the encrypted one, and the connection would hang.
         self.end_handshake()
         await self._stream.start_tls(context)
 
     def reset_seq(self) -> None:
-        """Begin a new exchange of packets."""
+        """Reset the sequence number for a new command."""
         self._stream.reset_seq()
 
     def close(self) -> None:
-        """Close the connection once what was written is sent; read no more."""
+        """Close the connection after sending the buffered data; stop reading."""
         self._is_closed = True
         self._stream.writer.close()
 
     async def read(self) -> bytes:
-        """Read one request.
+        """Read a request.
 
         Raises:
-            ConnectionClosed: the caller is gone, also in the middle of a packet.
-            PacketTooLargeError: the request is above the bound; the connection
-                cannot go on, since the rest of it is still to come.
+            ConnectionClosed: the caller disconnected, possibly within a packet.
+            PacketTooLargeError: the request exceeds the size limit; the connection
+                cannot be used further, because the rest of the request is unread.
         """
         data = bytearray()
         while True:
@@ -104,7 +104,7 @@
             expected = next(self.seq)
             if sequence != expected:
                 raise MysqlError(
-                    f"packet {sequence} where {expected} is due",
+                    f"packet has sequence number {sequence}, {expected} was expected",
                     ErrorCode.MALFORMED_PACKET,
                 )
             if len(data) + length > self._max_packet_bytes:
@@ -126,5 +126,5 @@
 
 
 def _receive_at_most(writer: StreamWriter, size: int) -> None:
-    # The event loop's socket transport has it as an attribute only.
+    # The event loop's socket transport has no method to set the receive size.
     setattr(writer.transport, "max_size", size)  # noqa: B010
--- a/packages/gateway/src/dogwoodspool_gateway/variables.py
+++ b/packages/gateway/src/dogwoodspool_gateway/variables.py
@@ -1,10 +1,10 @@
-"""System variables that drivers ask for when they connect."""
+"""System variables that drivers query when they connect."""
 
 from mysql_mimic.variables import SYSTEM_VARIABLES
 
 
 def system_variable(name: str) -> str | None:
-    """Return the value of a system variable; None if there is no such one.
+    """Return the value of a system variable; None if it is unknown.
 
     Example:
         >>> system_variable("max_allowed_packet")
--- a/packages/gateway/src/dogwoodspool_gateway/workers.py
+++ b/packages/gateway/src/dogwoodspool_gateway/workers.py
@@ -1,4 +1,4 @@
-"""The threads in which callers' statements wait and run."""
+"""Worker threads that run callers' statements."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 
 
 class WorkerPool:
-    """Run blocking work of caller connections in a bounded number of threads.
+    """Run blocking work of caller connections in a limited number of threads.
 
-    A statement that finds every thread taken is refused at once: in a queue in
-    front of the pool it would wait without having been admitted anywhere.
+    A statement is refused at once if all threads are in use. In a queue before the
+    pool it would wait outside of any admission control.
     """
 
     def __init__(self, workers: int) -> None:
@@ -22,17 +22,17 @@
 
     @property
     def running(self) -> int:
-        """The number of statements that have a thread."""
+        """Return the number of statements that occupy a thread."""
         return self._running
 
     async def run(self, work: Callable[[], ResultT]) -> ResultT | None:
-        """Run work in a thread; return None at once when all are taken."""
+        """Run work in a thread; return None at once if all threads are in use."""
         if self._running >= self._limit:
             return None
-        return await self.run_always(work)
+        return await self.run_admitted(work)
 
-    async def run_always(self, work: Callable[[], ResultT]) -> ResultT:
-        """Run work that has been admitted already, such as taking more rows."""
+    async def run_admitted(self, work: Callable[[], ResultT]) -> ResultT:
+        """Run work of an admitted statement, such as fetching more rows."""
         self._running += 1
         try:
             loop = asyncio.get_running_loop()
@@ -41,5 +41,5 @@
             self._running -= 1
 
     def unload(self) -> None:
-        """Let running work end and stop the threads."""
+        """Wait for running work and stop the threads."""
         self._statements.shutdown(wait=True)
--- a/tests/gateway/test_classify.py
+++ b/tests/gateway/test_classify.py
@@ -1,4 +1,4 @@
-"""Tests of what statements mean to the proxy."""
+"""Tests of the classification of statements."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class ClassifyTests(unittest.TestCase):
-    """A statement that may write is never taken for a plain read."""
+    """Guard against classifying a statement that may write as a plain read."""
 
     def assert_kind(self, kind: StatementKind, statements: list[str]) -> None:
         for sql in statements:
@@ -45,7 +45,7 @@
             ],
         )
 
-    def test_what_would_stay_on_a_pooled_connection_is_refused(self) -> None:
+    def test_statements_that_leave_connection_state_are_unsupported(self) -> None:
         self.assert_kind(
             StatementKind.UNSUPPORTED,
             [
@@ -61,7 +61,7 @@
             ],
         )
 
-    def test_what_drivers_send_by_themselves(self) -> None:
+    def test_statements_that_drivers_send_automatically(self) -> None:
         self.assert_kind(StatementKind.AUTOCOMMIT_OFF, ["SET AUTOCOMMIT = 0"])
         self.assert_kind(StatementKind.AUTOCOMMIT_ON, ["SET @@session.autocommit = ON"])
         self.assert_kind(
--- a/tests/gateway/test_listener.py
+++ b/tests/gateway/test_listener.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' port with stock drivers."""
+"""Tests of the callers' listener with standard drivers."""
 
 import contextlib
 import datetime
@@ -38,7 +38,7 @@
 
 
 class FakeSession:
-    """Answer what the statement's last word asks for."""
+    """Fake session whose answer is selected by the statement's last word."""
 
     in_transaction = False
     is_autocommit = True
@@ -47,17 +47,17 @@
         self._owner = owner
 
     def use(self, _database: str) -> ErrorAnswer | None:
-        """Take any database."""
+        """Accept any database."""
         return None
 
     def run(self, request: StatementRequest) -> Answer:
-        """Answer rows, an error or the end of a write."""
+        """Return rows, an error or the completion of a write."""
         self._owner.requests.append(request)
         match request.sql.split()[-1]:
             case "fail":
                 return ErrorAnswer(Outcome.FAILED, 1062, "23000", "duplicate")
             case "break":
-                return RowsAnswer(COLUMNS, broken_rows(), self._owner.finish)
+                return RowsAnswer(COLUMNS, interrupted_rows(), self._owner.finish)
             case "wait":
                 self._owner.is_waiting.set()
                 self._owner.may_end.wait(10)
@@ -68,15 +68,15 @@
         return DoneAnswer(3, 7)
 
     def reset(self) -> None:
-        """Forget nothing."""
+        """Do nothing."""
 
     def close(self) -> None:
-        """Count the end."""
+        """Count closed sessions."""
         self._owner.closed += 1
 
 
 class FakeSessions:
-    """Sessions that answer by themselves."""
+    """Fake session factory that records requests and finished results."""
 
     def __init__(self) -> None:
         self.requests: list[StatementRequest] = []
@@ -86,11 +86,11 @@
         self.may_end = threading.Event()
 
     def open(self, _user: str) -> FakeSession:
-        """Return a session."""
+        """Return a fake session."""
         return FakeSession(self)
 
     def password_hash(self, user: str) -> str | None:
-        """Know one caller."""
+        """Return the hash of the only known caller."""
         return hash_password(PASSWORD) if user == "app" else None
 
     def finish(self, is_complete: bool) -> None:
@@ -98,23 +98,23 @@
         self.finished.append(is_complete)
 
 
-def broken_rows() -> Iterator[Sequence[bytes | str | None]]:
-    """Give rows and then lose the backend server."""
+def interrupted_rows() -> Iterator[Sequence[bytes | str | None]]:
+    """Yield rows and then fail as if the backend server were lost."""
     for number in range(1_000):
         yield (str(number).encode(), b"x")
-    raise DogwoodspoolError("the server is gone")
+    raise DogwoodspoolError("connection to the server lost")
 
 
 def close_quietly(
     connection: "pymysql.connections.Connection[pymysql.cursors.Cursor]",
 ) -> None:
-    """Close a connection that may be closed already."""
+    """Close a connection that may already be closed."""
     with contextlib.suppress(pymysql.MySQLError):
         connection.close()
 
 
 class ListenerTestCase(unittest.TestCase):
-    """A listener with fake sessions."""
+    """Set up a listener with fake sessions."""
 
     tls: ssl.SSLContext | None = None
 
@@ -141,21 +141,21 @@
 
 
 class AnswerTests(ListenerTestCase):
-    """Answers reach stock drivers whole."""
+    """Guard against incomplete or altered answers to standard drivers."""
 
-    def test_a_write_answers_its_rows_and_key(self) -> None:
+    def test_write_returns_affected_rows_and_insert_id(self) -> None:
         with self.connect().cursor() as cursor:
             self.assertEqual(cursor.execute("UPDATE t SET a = b"), 3)
             self.assertEqual(cursor.lastrowid, 7)
 
-    def test_a_failure_carries_number_and_outcome(self) -> None:
+    def test_error_contains_number_and_outcome(self) -> None:
         with (
             self.connect().cursor() as cursor,
             self.assertRaisesRegex(pymysql.err.IntegrityError, "1062, 'failed: dup"),
         ):
             cursor.execute("INSERT fail")
 
-    def test_results_of_any_length_are_whole(self) -> None:
+    def test_results_of_any_length_are_complete(self) -> None:
         with self.connect().cursor() as cursor:
             for count in (0, 1, 511, 512, 513, 20_000):
                 with self.subTest(count):
@@ -164,9 +164,10 @@
                     self.assertEqual(numbers, list(range(count)))
         self.assertEqual(set(self.sessions.finished), {True})
 
-    def test_a_result_that_breaks_off_is_an_error(self) -> None:
-        # The backend server dies in the middle of a result. An end marker after
-        # the rows that had come would make the caller take them for all.
+    def test_interrupted_result_is_an_error(self) -> None:
+        # The backend server fails in the middle of a result. If the rows received so
+        # far were followed by an end marker, the caller would consider the result
+        # complete.
         connection = self.connect()
         with connection.cursor() as cursor:
             with self.assertRaisesRegex(pymysql.MySQLError, "unknown: "):
@@ -174,7 +175,7 @@
             cursor.execute("SELECT 2")
             self.assertEqual(len(cursor.fetchall()), 2)
 
-    def test_prepared_parameters_stay_values(self) -> None:
+    def test_prepared_parameters_are_escaped(self) -> None:
         connection = mysql.connector.connect(
             host="127.0.0.1",
             port=self.listener.address.port,
@@ -190,9 +191,9 @@
 
 
 class AuthenticationTests(ListenerTestCase):
-    """Only known callers get in, and a refused one gets no further."""
+    """Guard against access by callers whose authentication failed."""
 
-    def test_refused_callers_learn_nothing(self) -> None:
+    def test_refusal_does_not_reveal_known_names(self) -> None:
         for user, password in (("app", "wrong"), ("app", ""), ("nobody", "")):
             with (
                 self.subTest(user=user, password=password),
@@ -203,9 +204,9 @@
 
 
 class DrainTests(ListenerTestCase):
-    """A shutdown ends what is in flight and cuts nothing."""
+    """Guard against a shutdown that interrupts requests in flight."""
 
-    def test_a_statement_in_flight_gets_its_answer(self) -> None:
+    def test_statement_in_flight_is_answered(self) -> None:
         busy, idle = self.connect(), self.connect()
         counts: list[int] = []
         running = threading.Thread(
@@ -216,8 +217,8 @@
         drained: list[bool] = []
         draining = threading.Thread(target=lambda: drained.append(self.drain()))
         draining.start()
-        # An idle caller's next request crosses with the shutdown. It is answered
-        # as not run, and truly was not.
+        # An idle caller sends a request while the shutdown closes its connection. It
+        # is answered as not run and must not have run.
         with (
             idle.cursor() as cursor,
             self.assertRaisesRegex(pymysql.MySQLError, "1053, 'not-run: "),
@@ -236,10 +237,10 @@
         return self.listener.drain(10)
 
 
-class MovingTests(ListenerTestCase):
-    """Callers of a process that cannot serve them reconnect elsewhere."""
+class CloseIdleTests(ListenerTestCase):
+    """Closing of idle connections, so that callers reconnect to another proxy."""
 
-    def test_some_idle_callers_are_closed_and_the_rest_is_served(self) -> None:
+    def test_share_of_idle_connections_is_closed(self) -> None:
         callers = [self.connect() for _ in range(4)]
         self.assertEqual(self.listener.close_idle(0.25), 1)
         served = 0
@@ -252,7 +253,7 @@
                 served += 1
         self.assertEqual(served, 3)
 
-    def test_a_statement_in_flight_gets_its_answer(self) -> None:
+    def test_statement_in_flight_is_answered(self) -> None:
         busy = self.connect()
         counts: list[int] = []
         running = threading.Thread(
@@ -267,7 +268,7 @@
 
 
 def tls_context(folder: Path) -> tuple[ssl.SSLContext, Path]:
-    """Return a server's context and the certificate that callers trust."""
+    """Return a server's TLS context and the certificate that callers trust."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "localhost")])
     now = datetime.datetime.now(datetime.UTC)
@@ -296,7 +297,7 @@
 
 
 class TlsTests(ListenerTestCase):
-    """Callers can encrypt their connection."""
+    """TLS connections of callers."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -304,9 +305,9 @@
         self.tls, self.certificate = tls_context(Path(folder.name))
         super().setUp()
 
-    def test_a_record_right_behind_the_request_is_not_lost(self) -> None:
-        # Some callers could connect with TLS only now and then: the first record
-        # of the fast ones was read together with their request for TLS.
+    def test_tls_record_sent_with_the_tls_request_is_not_lost(self) -> None:
+        # TLS handshakes of fast callers failed intermittently, because their first
+        # TLS record was read together with the TLS request.
         with socket.create_connection(("127.0.0.1", self.listener.address.port)) as raw:
             raw.recv(4096)
             incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -324,7 +325,7 @@
             tls.do_handshake()
         self.assertEqual(tls.version(), "TLSv1.3")
 
-    def test_statements_go_encrypted(self) -> None:
+    def test_statements_over_tls(self) -> None:
         connection = self.connect(
             ssl={"ca": str(self.certificate), "check_hostname": False}
         )
@@ -333,7 +334,7 @@
             cursor.execute("SELECT 600")
             self.assertEqual(len(cursor.fetchall()), 600)
 
-    def test_a_caller_that_trusts_another_certificate_gets_no_further(self) -> None:
+    def test_caller_that_trusts_another_certificate_cannot_connect(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             _, other = tls_context(Path(folder))
             with self.assertRaises(pymysql.MySQLError):
--- a/tests/gateway/test_properties.py
+++ b/tests/gateway/test_properties.py
@@ -1,4 +1,4 @@
-"""Tests of per-request properties."""
+"""Tests of request properties and of parameter interpolation."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class SplitCommentTests(unittest.TestCase):
-    """Only an sqlcommenter comment at an end of the statement is taken off."""
+    """Removal of sqlcommenter comments at the start or end of a statement."""
 
     def test_leading_and_trailing_comments(self) -> None:
         expected = ("SELECT 1", {"max_age_ms": "500", "request_id": "a-1"})
@@ -19,7 +19,7 @@
             with self.subTest(sql):
                 self.assertEqual(split_comment(sql), expected)
 
-    def test_other_comments_and_strings_stay(self) -> None:
+    def test_other_comments_and_strings_are_kept(self) -> None:
         for sql in (
             "SELECT '/*max_age_ms=1*/'",
             "SELECT /*+ hint */ 1",
@@ -30,14 +30,16 @@
 
 
 class ParsePropertiesTests(unittest.TestCase):
-    """A known name with a useless value is an error, an unknown name is not."""
+    """Validation of known properties; unknown names are ignored."""
 
     def test_values(self) -> None:
-        read = parse_properties({"idempotent": "TRUE", "deadline_ms": 800, "app": "x"})
-        self.assertIs(read.idempotent, True)
-        self.assertEqual(read.deadline_ms, 800)
+        properties = parse_properties(
+            {"idempotent": "TRUE", "deadline_ms": 800, "app": "x"}
+        )
+        self.assertIs(properties.idempotent, True)
+        self.assertEqual(properties.deadline_ms, 800)
 
-    def test_useless_values_are_refused(self) -> None:
+    def test_invalid_values_are_rejected(self) -> None:
         for name, value in (
             ("max_age_ms", "soon"),
             ("max_age_ms", "-1"),
@@ -55,10 +57,10 @@
 
 
 class InterpolateTests(unittest.TestCase):
-    """A parameter never changes the statement around it."""
+    """Guard against parameters that change the statement (SQL injection)."""
 
     def test_quotes_backslashes_and_question_marks(self) -> None:
-        # With the gateway library's own interpolation the quote below ends the
-        # string and the question mark takes the next value.
+        # With the protocol library's own interpolation, the quote below would end the
+        # string and the question mark would be replaced by the next value.
         sql = interpolate("INSERT INTO t VALUES (?, '?', ?)", ["it's ? \\", 5])
         self.assertEqual(sql, "INSERT INTO t VALUES ('it\\'s ? \\\\', '?', 5)")
