--- a/features/mutations/guards/answers.py
+++ b/features/mutations/guards/answers.py
@@ -19,7 +19,7 @@
 
     replace(Wire, "_force_close", lambda _self: None)
     replace(Wire, "abandon", lambda _self: None)
-    replace(BackendConnection, "_lose", lambda _self: None)
+    replace(BackendConnection, "_abort_connection", lambda _self: None)
     replace(ConnectionPool, "release", release)
     replace(ConnectionHealth, "reset_for_reuse", lambda _self, _connection: True)
     replace(ConnectionHealth, "is_usable", lambda _self, _connection, _deadline: True)
@@ -29,11 +29,11 @@
     """End a result that broke off as if it were whole."""
     from dogwoodspool_gateway.fetched import FetchedRows
 
-    def take(self: Any) -> None:
+    def fetch_batch(self: Any) -> None:
         original(self)
         self.failure = None
 
-    original = replace(FetchedRows, "take", take)
+    original = replace(FetchedRows, "fetch_batch", fetch_batch)
 
 
 def results_buffered() -> None:
--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -322,7 +322,7 @@
     rows = result.rows
     while batch := list(islice(rows, RESULT_STALL_ROWS)):
         yield from batch
-        held.connection.allow_more(RESULT_STALL_SECONDS)
+        held.connection.extend_deadline(RESULT_STALL_SECONDS)
 
 
 def answer_columns(result: StatementResult) -> tuple[AnswerColumn, ...]:
