--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform: backend servers, balancer, operator, promotions."""
+"""Stand-in for the platform: backend servers, HTTP calls, promotions and callers."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 
 @dataclass
 class GroupLog:
-    """A group's commits, which its replicas receive at once unless paused."""
+    """A group's commits, shared by its servers without replication delay."""
 
     term: int = 1
     number: int = 0
@@ -26,13 +26,15 @@
 class TextServer:
     """One backend server that speaks the platform's text protocol."""
 
-    def __init__(self, name: str, service: str, log: GroupLog, *, leads: bool) -> None:
+    def __init__(
+        self, name: str, service: str, log: GroupLog, *, is_primary: bool
+    ) -> None:
         self.name = name
         self.service = service
         self.log = log
-        self.leads = leads
+        self.is_primary = is_primary
         self.paused_term = 0
-        self.runs: list[tuple[str, str]] = []
+        self.executed: list[tuple[str, str]] = []
         self._open: set[socket.socket] = set()
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port = int(self._listener.getsockname()[1])
@@ -40,7 +42,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """End as a process that is killed."""
+        """Close all sockets, as when the process is killed."""
         try:
             self._listener.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -106,7 +108,7 @@
         if verb == "WAITLSN":
             verb, _, rest = rest.partition(" ")[2].partition(" ")
         match verb:
-            case "BEGIN" if not rest and not server.leads:
+            case "BEGIN" if not rest and not server.is_primary:
                 return "ERROR READONLY not the primary"
             case "BEGIN":
                 self._state, self._pending = "T", []
@@ -115,12 +117,12 @@
                 self._state = "I"
                 return "COMPLETE -"
             case "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN":
-                return self._order(verb, rest)
+                return self._run_command(verb, rest)
             case "READ":
-                server.runs.append((request_id, text))
+                server.executed.append((request_id, text))
                 value = log.values.get(rest, "none")
                 return f"DATAROW {value}\r\nCOMPLETE proof.{request_id}"
-            case "WRITE" if not server.leads:
+            case "WRITE" if not server.is_primary:
                 return "ERROR READONLY not the primary"
             case "WRITE":
                 item, _, value = rest.partition(" ")
@@ -142,21 +144,21 @@
             log.ids.append(request_id)
         self._pending = []
 
-    def _order(self, verb: str, rest: str) -> str:
+    def _run_command(self, verb: str, rest: str) -> str:
         server = self._server
         if verb == "PAUSE":
             server.paused_term = int(rest)
         elif verb == "RESUME":
             server.paused_term = 0
         elif verb == "STEPDOWN":
-            server.leads = False
-        role = "primary" if server.leads else "replica"
+            server.is_primary = False
+        role = "primary" if server.is_primary else "replica"
         fields = [role, server.log.term, self._position(), server.paused_term, 0, 0, 1]
         return "DATAROW " + " ".join(map(str, fields)) + "\r\nCOMPLETE -"
 
 
 class Cloud:
-    """The platform's own service: it carries promotions out at once."""
+    """The platform's promotion service; it completes promotions immediately."""
 
     def __init__(self, servers: list[TextServer]) -> None:
         cloud = self
@@ -180,12 +182,12 @@
         threading.Thread(target=self._http.serve_forever, daemon=True).start()
 
     def promote(self, name: str, token: int) -> int:
-        """Carry out one call; return its HTTP status."""
+        """Handle one promotion request; return its HTTP status."""
         if self.calls and token < self.calls[-1][1]:
             return 409
         self.calls.append((name, token))
         for server in self.servers:
-            server.leads = server.name == name
+            server.is_primary = server.name == name
             server.paused_term = 0
         self.servers[0].log.term += 1
         return 200
@@ -197,7 +199,7 @@
 
 
 def call(method: str, url: str, body: Any = None) -> tuple[int, Any]:
-    """Make one HTTP call; follow redirects of a leader as the platform does."""
+    """Make one HTTP request; follow redirects to the leader as the platform does."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data, method=method)
     request.add_header("Content-Type", "application/json")
@@ -213,7 +215,7 @@
 
 
 class TextClient:
-    """One caller."""
+    """One caller's connection."""
 
     def __init__(self, address: str, database: str) -> None:
         host, _, port = address.partition(":")
@@ -228,7 +230,7 @@
         self._stream.flush()
 
     def read(self) -> str:
-        """Return the next message, empty at the end."""
+        """Return the next message; an empty string at the end of input."""
         return self._stream.readline().decode().rstrip("\r\n")
 
     def ask(self, request_id: str, text: str) -> list[str]:
@@ -241,5 +243,5 @@
                 return messages
 
     def close(self) -> None:
-        """Leave without a word."""
+        """Close the connection without a TERMINATE message."""
         self._socket.close()
--- a/tests/platform/system.py
+++ b/tests/platform/system.py
@@ -1,4 +1,4 @@
-"""The whole system in one process, on the stand-in of the platform."""
+"""The whole system in one process, with the stand-in for the platform."""
 
 import tempfile
 import threading
@@ -17,11 +17,11 @@
 from .test_messages import config, heartbeat, route
 
 HOSTS = ("127.0.0.11", "127.0.0.12", "127.0.0.13")
-PATIENCE = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free at this moment."""
+    """Return ports that are currently free."""
     import socket  # noqa: PLC0415
 
     sockets = [socket.create_server(("0.0.0.0", 0)) for _ in range(count)]
@@ -32,16 +32,16 @@
 
 
 def eventually(check: Callable[[], bool], what: str) -> None:
-    """Wait until something holds."""
-    deadline = time.monotonic() + PATIENCE
+    """Wait until a condition holds; fail after ``TIMEOUT_SECONDS``."""
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not check():
         if time.monotonic() > deadline:
-            raise AssertionError(f"never: {what}")
+            raise AssertionError(f"timed out waiting until {what}")
         time.sleep(0.05)
 
 
 def answers(url: str) -> bool:
-    """Tell whether a question is answered with success."""
+    """Return whether a GET request succeeds."""
     return call("GET", url)[0] == 200
 
 
@@ -49,8 +49,8 @@
     """Three voters, some proxies and one database group, over real sockets.
 
     Attributes:
-        EDGE_HOSTS: one proxy runs on each.
-        MAX_CONNECTIONS: what a server takes, as the configuration says.
+        EDGE_HOSTS: hosts that run one proxy each.
+        MAX_CONNECTIONS: configured maximum of connections to a server.
     """
 
     EDGE_HOSTS: ClassVar[tuple[str, ...]] = ("127.0.0.21",)
@@ -62,16 +62,16 @@
         self.folder = Path(folder.name)
         self.log = GroupLog()
         self.servers = [
-            TextServer(f"i-{n}", "s1", self.log, leads=n == 1) for n in (1, 2, 3)
+            TextServer(f"i-{n}", "s1", self.log, is_primary=n == 1) for n in (1, 2, 3)
         ]
         self.cloud = Cloud(self.servers)
         self.addCleanup(self.cloud.close)
         for server in self.servers:
             self.addCleanup(server.close)
         ports = free_ports(5)
-        self.inner, self.pools, self.control, self.front, self.ready = ports
+        self.internal, self.pools, self.control, self.front, self.ready = ports
         self.sequence = self.attempts = 0
-        self.beating = {server.name for server in self.servers}
+        self.reporting = {server.name for server in self.servers}
         self.stop = threading.Event()
         self.addCleanup(self.stop.set)
         self.start_all()
@@ -81,7 +81,7 @@
             "node": f"node-{host.rpartition('.')[2]}",
             "ip": host,
             "zone": f"zone-{host[-1]}",
-            "internalPorts": [self.inner, self.pools],
+            "internalPorts": [self.internal, self.pools],
             "seeds": [f"{one}:{self.control}" for one in HOSTS],
             "bootstrap": True,
             "cloud": {"addr": self.cloud.address},
@@ -100,8 +100,8 @@
             core.set_up()
             self.addCleanup(core.unload)
         self.edges = [self.start_edge(host) for host in self.EDGE_HOSTS]
-        self.put_until_taken(self.configuration(7))
-        threading.Thread(target=self.beat_on, daemon=True).start()
+        self.put_until_acknowledged(self.configuration(7))
+        threading.Thread(target=self.send_heartbeats, daemon=True).start()
         for host in self.EDGE_HOSTS:
             ready = f"http://{host}:{self.ready}/dogwoodspool/readiness"
             eventually(partial(answers, ready), "the proxy is ready")
@@ -128,23 +128,23 @@
     def url(self, path: str, host: str = HOSTS[0]) -> str:
         return f"http://{host}:{self.control}/dogwoodspool/{path}"
 
-    def put_until_taken(self, body: dict[str, object]) -> None:
+    def put_until_acknowledged(self, body: dict[str, object]) -> None:
         eventually(
             lambda: call("PUT", self.url("config"), body)[0] == 200,
             "the configuration is acknowledged",
         )
 
-    def beat_on(self) -> None:
+    def send_heartbeats(self) -> None:
         while not self.stop.wait(0.2):
             self.sequence += 1
             for server in self.servers:
-                if server.name not in self.beating:
+                if server.name not in self.reporting:
                     continue
                 body = heartbeat(
                     addr=f"127.0.0.1:{server.port}",
                     seq=self.sequence,
                     born=1,
-                    dbRole="primary" if server.leads else "replica",
+                    dbRole="primary" if server.is_primary else "replica",
                 )
                 call("PUT", self.url(f"instances/{server.name}"), body)
 
--- a/tests/platform/test_launch.py
+++ b/tests/platform/test_launch.py
@@ -1,4 +1,4 @@
-"""Tests of how a role starts from the source tree."""
+"""Tests of starting a role from the source tree."""
 
 import json
 import subprocess
@@ -9,7 +9,8 @@
 
 ROOT: Final = Path(__file__).resolve().parents[2]
 LAUNCH: Final = ROOT / "platform" / "launch.py"
-# Prints what is loaded once a role's own modules are, then the way that was searched.
+# Prints the modules loaded after importing a role, then the import path before and
+# after.
 PROBE: Final = """
 import json, runpy, sys
 before = list(sys.path)
@@ -17,12 +18,12 @@
 import dogwoodspool_platform.{role}
 print(json.dumps([list(sys.modules), before, sys.path]))
 """
-# Parsers that only the command line and the MySQL front need.
-NOT_NEEDED: Final = {"yaml", "sqlglot", "mysql_mimic", "pymysql"}
+# Parsers that only the command line and the MySQL gateway need.
+UNNEEDED_MODULES: Final = {"yaml", "sqlglot", "mysql_mimic", "pymysql"}
 
 
 class LaunchTests(unittest.TestCase):
-    """A restart keeps callers waiting for as long as the program takes to load."""
+    """After a restart callers are not served until the role has loaded."""
 
     def probe(self, role: str) -> tuple[list[str], list[str], list[str]]:
         done = subprocess.run(
@@ -34,13 +35,13 @@
         modules, before, after = json.loads(done.stdout)
         return modules, before, after
 
-    def test_no_role_loads_what_only_other_programs_need(self) -> None:
+    def test_roles_do_not_import_modules_of_other_programs(self) -> None:
         for role in ("edge", "core"):
             with self.subTest(role=role):
                 modules, _, _ = self.probe(role)
-                self.assertEqual(set(modules) & NOT_NEEDED, set())
+                self.assertEqual(set(modules) & UNNEEDED_MODULES, set())
 
-    def test_modules_are_looked_for_in_the_sources_last(self) -> None:
+    def test_source_folders_come_last_on_the_import_path(self) -> None:
         _, before, after = self.probe("edge")
         self.assertEqual(after[: len(before)], before)
         self.assertIn(str(ROOT / "packages" / "pooler" / "src"), after[len(before) :])
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of what comes from the platform: settings file, configuration, heartbeats."""
+"""Tests of the platform's messages: settings file, configuration, heartbeats."""
 
 import unittest
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 def route(**changes: Any) -> dict[str, Any]:
-    """Return a route."""
+    """Return a valid route."""
     return {
         "name": "r1",
         "host": "db1",
@@ -33,7 +33,7 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    """Return a configuration."""
+    """Return a valid configuration."""
     return {
         "version": 7,
         "routes": [route()],
@@ -44,7 +44,7 @@
 
 
 def heartbeat(**changes: Any) -> dict[str, Any]:
-    """Return a heartbeat's body."""
+    """Return a valid heartbeat body."""
     return {
         "service": "s1",
         "addr": "10.0.0.9:8080",
@@ -61,16 +61,16 @@
 
 
 class ConfigTests(unittest.TestCase):
-    """A configuration comes into force whole, or is refused."""
+    """A configuration is decoded completely or rejected."""
 
-    def test_a_route_is_an_endpoint(self) -> None:
+    def test_route_is_decoded_to_an_endpoint(self) -> None:
         version, document = decode_config(config())
         (endpoint,) = document.endpoints
         self.assertEqual(version, 7)
         self.assertIs(endpoint.consistency, Consistency.READ_YOUR_WRITES)
         self.assertEqual((endpoint.deadline_ms, endpoint.max_age_ms), (800, 2500))
 
-    def test_the_tree_takes_its_nodes(self) -> None:
+    def test_limits_and_services_become_settings_nodes(self) -> None:
         _, document = decode_config(config())
         nodes = document.nodes
         self.assertEqual(nodes["/"], {"max_transaction_idle_ms": 3000})
@@ -78,18 +78,18 @@
             nodes["/s1/s1"], {"write_ack": "group", "server_connections": 46}
         )
 
-    def test_it_comes_back_as_it_was_sent(self) -> None:
+    def test_source_is_preserved_unchanged(self) -> None:
         sent = config(extra={"kept": [1, 2]})
         _, document = decode_config(sent)
         self.assertIn('"extra":{"kept":[1,2]}', unpack(pack(document)).source)
 
-    def test_what_is_invalid_is_refused(self) -> None:
+    def test_invalid_configurations_are_rejected(self) -> None:
         cases: dict[str, Any] = {
             "unknown service": config(routes=[route(service="s9")]),
-            "same place": config(routes=[route(), route(name="r2")]),
-            "no timeout": config(routes=[route(timeoutMs=0)]),
-            "cut short": {"version": 7, "routes": []},
-            "no number": config(version="7"),
+            "duplicate route": config(routes=[route(), route(name="r2")]),
+            "zero timeout": config(routes=[route(timeoutMs=0)]),
+            "missing fields": {"version": 7, "routes": []},
+            "version is a string": config(version="7"),
             "unknown kind": config(routes=[route(kind="dirty")]),
             "a list": [],
             "nothing": None,
@@ -100,9 +100,9 @@
 
 
 class DocumentTests(unittest.TestCase):
-    """A document is one change of the tree, and an older one changes nothing."""
+    """A document replaces the settings tree unless its revision is already known."""
 
-    def test_a_node_that_is_no_longer_described_goes(self) -> None:
+    def test_groups_missing_from_a_newer_document_are_removed(self) -> None:
         from dogwoodspool_control.settings.documents import DocumentState  # noqa: PLC0415
 
         tree, state = SettingsTree(), DocumentState()
@@ -113,7 +113,7 @@
         self.assertTrue(tree.has_group("s1"))
         self.assertFalse(tree.has_group("s2"))
 
-    def test_another_content_under_the_same_revision_is_not_obeyed(self) -> None:
+    def test_different_content_with_the_same_revision_is_rejected(self) -> None:
         from dogwoodspool_control.settings.documents import DocumentState  # noqa: PLC0415
 
         tree, state = SettingsTree(), DocumentState()
@@ -126,22 +126,22 @@
 
 
 class HeartbeatTests(unittest.TestCase):
-    """A heartbeat names a server, or is refused."""
+    """A heartbeat is decoded to a server or rejected."""
 
-    def test_it_describes_a_server(self) -> None:
+    def test_heartbeat_is_decoded_to_a_server(self) -> None:
         beat = decode_heartbeat("i-1", heartbeat())
         self.assertEqual(beat.server.name, "i-1")
         self.assertEqual(beat.server.incarnation, 1_790_000_000_000)
         self.assertIs(beat.role, Role.REPLICA)
 
-    def test_what_cannot_be_used_is_refused(self) -> None:
+    def test_invalid_heartbeats_are_rejected(self) -> None:
         cases: dict[str, Any] = {
-            "missing": {key: 1 for key in ("seq",)},
-            "another type": heartbeat(seq="4"),
-            "a truth value": heartbeat(seq=True),
-            "a fraction": heartbeat(born=1.5),
+            "missing fields": {key: 1 for key in ("seq",)},
+            "wrong type": heartbeat(seq="4"),
+            "boolean": heartbeat(seq=True),
+            "fraction": heartbeat(born=1.5),
             "unknown state": heartbeat(state="sleeping"),
-            "no address": heartbeat(addr="somewhere"),
+            "invalid address": heartbeat(addr="somewhere"),
             "a list": [],
             "nothing": None,
         }
@@ -149,13 +149,13 @@
             with self.assertRaises(InvalidHeartbeatError, msg=name):
                 decode_heartbeat("i-1", bad)
 
-    def test_a_bad_name_is_refused(self) -> None:
+    def test_invalid_server_name_is_rejected(self) -> None:
         with self.assertRaises(InvalidHeartbeatError):
             decode_heartbeat("i 1", heartbeat())
 
 
 class BootSettingsTests(unittest.TestCase):
-    """The settings file names what a process needs, and more."""
+    """The settings file may contain more than a process needs."""
 
     def test_unknown_fields_are_ignored(self) -> None:
         boot = BootSettings.model_validate(
--- a/tests/platform/test_power_loss.py
+++ b/tests/platform/test_power_loss.py
@@ -1,12 +1,11 @@
-"""Tests of the return of the whole system after a loss of power, with many proxies.
+"""Tests of recovery after a power loss of all instances, with many proxies.
 
-All instances lost their power and came back, two control processes without their disks,
-and nothing was served any more: no proxy had a view, and the configuration could not be
-read. Every proxy polled the control processes at once. Those polls held all threads of
-the three that were needed for a majority, so that no vote was answered in time, and
-each of these accepted a hundred connections and no other. With 194 proxies, 763
-elections began in 40 s without a leader; with the threads mended alone 97 proxies never
-got a view:
+All instances restart, two of five control processes with empty disks, and all proxies
+poll the control processes at once. Two faults then kept proxies without a view and the
+configuration unreadable. The polls occupied all HTTP threads of the three control
+processes needed for a majority, so votes were not answered in time: 194 proxies caused
+763 elections in 40 s without a leader. The HTTP server also accepted no more than 100
+connections: with only the threads fixed, 97 proxies never received a view. It logged:
 
     reason="total open connections reached the connection limit, ..."
 """
@@ -40,7 +39,7 @@
 node = "{host}"
 ip = "{host}"
 zone = "{host}"
-internalPorts = [{inner}, {inner}]
+internalPorts = [{internal}, {internal}]
 seeds = [{seeds}]
 bootstrap = {bootstrap}
 dataDir = "{data}"
@@ -54,12 +53,12 @@
 
 
 class PowerLossTests(unittest.TestCase):
-    """Five control processes, two of which come back without their disks."""
+    """Five control processes, two of which restart with empty disks."""
 
     def setUp(self) -> None:
         self.enterContext(folder := tempfile.TemporaryDirectory())
         self.folder = Path(folder.name)
-        self.inner, self.control = free_ports(2)
+        self.internal, self.control = free_ports(2)
         self.client = JsonClient(None)
         self.addCleanup(self.client.close)
         self.processes: list[subprocess.Popen[bytes]] = []
@@ -71,7 +70,7 @@
         boot = self.folder / f"{host}.toml"
         text = BOOT.format(
             host=host,
-            inner=self.inner,
+            internal=self.internal,
             control=self.control,
             seeds=", ".join(f'"{one}:{self.control}"' for one in SEEDS),
             bootstrap=str(bootstrap).lower(),
@@ -96,7 +95,7 @@
 
     def voters(self) -> int:
         try:
-            status = self.client.get(Address(HOSTS[0], self.inner), PATH_STATUS)
+            status = self.client.get(Address(HOSTS[0], self.internal), PATH_STATUS)
         except HttpError:
             return 0
         members: list[dict[str, Any]] = status["voters"]
@@ -112,11 +111,11 @@
         eventually(is_acknowledged, f"configuration {version} is acknowledged")
 
     def follow(self, number: int) -> ViewStore:
-        """Start what a proxy follows control with."""
+        """Start the components with which a proxy follows control."""
         clock = SystemClock()
         domain = HOSTS[number % len(HOSTS)]
         views = ViewStore(domain, clock)
-        known = tuple(Address(one, self.inner) for one in SEEDS)
+        known = tuple(Address(one, self.internal) for one in SEEDS)
         peers = ControlPeers(known, domain, f"edge-{number}")
         client = JsonClient(None)
         watch = WatchCoordinator(views, peers, client, clock, WAIT_MS)
@@ -125,14 +124,16 @@
         self.addCleanup(watch.unload)
         return views
 
-    def all_have(self, proxies: list[ViewStore], test: Callable[[int], bool]) -> bool:
+    def all_versions(
+        self, proxies: list[ViewStore], test: Callable[[int], bool]
+    ) -> bool:
         return all(test(views.view.version) for views in proxies)
 
-    def test_all_proxies_have_a_view_again_and_the_next_change(self) -> None:
-        """Guard against a crowd of proxies that keeps control from its return."""
+    def test_all_proxies_receive_a_view_and_the_next_change(self) -> None:
+        """Guard against polling proxies that prevent the recovery of control."""
         for host in HOSTS:
             self.start(host, bootstrap=host in SEEDS)
-        eventually(lambda: self.voters() == len(HOSTS), "all five vote")
+        eventually(lambda: self.voters() == len(HOSTS), "all five are voters")
         self.put(7)
         self.kill_all()
         for host in LOST_DISKS:
@@ -140,11 +141,13 @@
         for host in HOSTS:
             self.start(host, bootstrap=False)
         proxies = [self.follow(number) for number in range(PROXIES)]
-        # Before the proxies end, so that none waits for the end of its poll.
+        # Registered last, to run before the proxies stop: none waits for its poll.
         self.addCleanup(self.kill_all)
-        has_view = partial(self.all_have, proxies, lambda version: version > 0)
+        has_view = partial(self.all_versions, proxies, lambda version: version > 0)
         eventually(has_view, "every proxy has a view")
         newest = max(views.view.version for views in proxies)
         self.put(8)
-        has_change = partial(self.all_have, proxies, lambda version: version > newest)
-        eventually(has_change, "the next change is in force everywhere")
+        has_change = partial(
+            self.all_versions, proxies, lambda version: version > newest
+        )
+        eventually(has_change, "every proxy has the next change")
--- a/tests/platform/test_shared_pools.py
+++ b/tests/platform/test_shared_pools.py
@@ -18,7 +18,7 @@
 
 
 class SharedPoolsTests(SystemFixture):
-    """Proxies before servers that take too few connections for all of them."""
+    """More proxies than the servers' connection limit allows to connect."""
 
     EDGE_HOSTS: ClassVar[tuple[str, ...]] = (
         "127.0.0.21",
@@ -30,17 +30,17 @@
 
     def setUp(self) -> None:
         super().setUp()
-        eventually(self.know_each_other, "proxies know each other")
+        eventually(self.all_see_neighbours, "proxies see all neighbours")
 
-    def know_each_other(self) -> bool:
+    def all_see_neighbours(self) -> bool:
         expected = f"dogwoodspool_neighbours {len(self.edges)}\n"
         return all(expected in edge.metrics() for edge in self.edges)
 
-    def openers(self) -> list[Edge]:
-        """Return the proxies that have connections of their own."""
+    def connected_proxies(self) -> list[Edge]:
+        """Return the proxies that have open connections."""
         return [edge for edge in self.edges if OPEN_CONNECTIONS.search(edge.metrics())]
 
-    def test_proxies_hand_statements_to_the_owners(self) -> None:
+    def test_proxies_forward_statements_to_the_owners(self) -> None:
         for host in self.EDGE_HOSTS:
             client = self.client(host=host)
             eventually(partial(self.write, client, 1), "a write is served")
@@ -53,17 +53,20 @@
             ):
                 answer = client.ask(f"{request_id}.{host}", text)
                 self.assertFalse(answer[0].startswith("ERROR"), answer)
-        eventually(lambda: len(self.openers()) <= 2, "others keep no connection")
-        self.assertGreater(len(self.openers()), 0)
+        eventually(
+            lambda: len(self.connected_proxies()) <= 2,
+            "other proxies close their connections",
+        )
+        self.assertGreater(len(self.connected_proxies()), 0)
         ids = self.log.ids
         self.assertEqual(len(ids), len(set(ids)))
 
-    def test_writes_go_on_and_run_once_while_an_owner_leaves(self) -> None:
+    def test_writes_succeed_and_run_once_while_an_owner_drains(self) -> None:
         """Guard against requests that a draining owner loses or runs twice."""
         clients = [self.client(host=host) for host in self.EDGE_HOSTS]
         for client in clients:
             eventually(partial(self.write, client, 1), "a write is served")
-        leaving = self.openers()[0]
+        leaving = self.connected_proxies()[0]
         others = [
             client
             for client, edge in zip(clients, self.edges, strict=True)
@@ -83,7 +86,7 @@
         self.assertEqual(len(ids), len(set(ids)))
 
     def write_many(self, client: TextClient, name: str) -> list[str]:
-        """Write one after the other; return the answers that are no success."""
+        """Write sequentially; return the answers that report no success."""
         answers = [
             client.ask(f"{name}.{number}", f"WRITE {name}-{number} v")[0]
             for number in range(STATEMENTS)
--- a/tests/platform/test_system.py
+++ b/tests/platform/test_system.py
@@ -1,4 +1,4 @@
-"""Tests of the whole system on the stand-in of the platform."""
+"""Tests of the whole system with the stand-in for the platform."""
 
 from .standin import TextClient, call
 from .system import HOSTS, SystemFixture, eventually
@@ -6,9 +6,9 @@
 
 
 class SystemTests(SystemFixture):
-    """One proxy serves callers, changes of the configuration and of the primary."""
+    """One proxy serves callers through configuration changes and a failover."""
 
-    def test_it_serves_changes_and_survives_the_primary(self) -> None:
+    def test_configuration_changes_and_failover(self) -> None:
         client = self.client()
         self.assertEqual(client.greeting, "READY I -")
         eventually(lambda: self.write(client, 1), "a write is served")
@@ -17,7 +17,7 @@
         self.check_transaction(client)
         self.check_refusals()
         self.check_configuration()
-        self.check_moving()
+        self.check_closing_idle()
         self.check_failover(self.client())
 
     def check_transaction(self, client: TextClient) -> None:
@@ -45,13 +45,14 @@
             self.assertEqual((status, body["version"]), (200, 7))
         added = self.configuration(9)
         added["routes"] = [*added["routes"], route(name="r9", host="db9")]  # type: ignore[misc]
-        self.put_until_taken(added)
+        self.put_until_acknowledged(added)
         eventually(
-            lambda: self.client("db9").greeting == "READY I -", "the new route is there"
+            lambda: self.client("db9").greeting == "READY I -",
+            "the new route works",
         )
 
-    def check_moving(self) -> None:
-        """Callers are moved between their requests only, never in a transaction."""
+    def check_closing_idle(self) -> None:
+        """Only idle connections are closed, never one in a transaction."""
         idle, busy = self.client(), self.client()
         busy.ask("m1", "BEGIN")
         while self.edges[0].callers.close_idle(1.0):
@@ -60,10 +61,10 @@
         self.assertEqual(busy.ask("m2", "ROLLBACK"), ["COMPLETE -", "READY I -"])
 
     def check_failover(self, client: TextClient) -> None:
-        """Kill the primary: writes go on elsewhere, and none is lost or doubled."""
-        self.beating.discard("i-1")
+        """Kill the primary: writes continue elsewhere; none is lost or run twice."""
+        self.reporting.discard("i-1")
         self.servers[0].close()
-        eventually(lambda: self.write(client, 3), "writes go on")
+        eventually(lambda: self.write(client, 3), "writes succeed after the failover")
         self.assertNotEqual(self.cloud.calls[0][0], "i-1")
         for number in (1, 2, 3):
             row = client.ask(f"c{number}", f"READ k{number}")[0]
