--- a/packages/common/src/dogwoodspool_common/__init__.py
+++ b/packages/common/src/dogwoodspool_common/__init__.py
@@ -1,4 +1,4 @@
-"""What every library and program shares: clock, log, trace, HTTP with JSON."""
+"""Shared code of all libraries and programs: clock, log, traces, JSON over HTTP."""
 
 from .clock import Clock, ManualClock, SystemClock
 from .errors import (
--- a/packages/common/src/dogwoodspool_common/clock.py
+++ b/packages/common/src/dogwoodspool_common/clock.py
@@ -1,4 +1,4 @@
-"""The runtime's clock, which tests pause and advance."""
+"""Clocks: the system clock, and a manual one for tests."""
 
 import threading
 import time
@@ -6,10 +6,10 @@
 
 
 class Clock(Protocol):
-    """Give monotonic time and bounded waits.
+    """Provide monotonic time and bounded waits.
 
-    No decision reads the wall clock: it jumps, and two processes need not agree
-    on it.
+    No decision reads the wall clock: it can jump, and it may differ between
+    processes.
     """
 
     def now(self) -> float:
@@ -21,20 +21,20 @@
         ...
 
     def wait(self, condition: threading.Condition, seconds: float) -> bool:
-        """Wait on a held condition; return False when the time ran out."""
+        """Wait on a held condition; return False on time-out."""
         ...
 
 
 class SystemClock:
-    """The machine's clock since boot.
+    """The machine's time since boot.
 
-    Leases and the age of data are counted on it. ``time.monotonic`` stands still
-    while a machine is suspended: a lease that ran out meanwhile would look valid
-    when the machine wakes up. ``CLOCK_BOOTTIME`` counts that time too.
+    Leases and the age of data are measured with it. ``time.monotonic`` does not
+    advance while a machine is suspended: a lease that expired meanwhile would look
+    valid when the machine resumes. ``CLOCK_BOOTTIME`` includes suspended time.
     """
 
     def now(self) -> float:
-        """Return monotonic seconds, those of a suspended machine included."""
+        """Return monotonic seconds, including time while suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def sleep(self, seconds: float) -> None:
@@ -42,7 +42,7 @@
         time.sleep(seconds)
 
     def wait(self, condition: threading.Condition, seconds: float) -> bool:
-        """Wait on a held condition; return False when the time ran out."""
+        """Wait on a held condition; return False on time-out."""
         return condition.wait(max(0.0, seconds))
 
 
@@ -58,25 +58,25 @@
 
     def __init__(self, start: float = 0.0) -> None:
         self._now = start
-        self._ticked = threading.Condition()
+        self._advanced = threading.Condition()
         self._waiting: list[threading.Condition] = []
 
     @property
     def waiters(self) -> int:
-        """Threads that wait for this clock in ``wait``."""
-        with self._ticked:
+        """Number of threads blocked in ``wait``."""
+        with self._advanced:
             return len(self._waiting)
 
     def now(self) -> float:
         """Return the paused time in seconds."""
-        with self._ticked:
+        with self._advanced:
             return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move time forward and wake every waiter so that it looks again."""
-        with self._ticked:
+        """Move time forward and wake all waiters to check their conditions again."""
+        with self._advanced:
             self._now += seconds
-            self._ticked.notify_all()
+            self._advanced.notify_all()
             waiting = list(self._waiting)
         for condition in waiting:
             with condition:
@@ -84,13 +84,13 @@
 
     def sleep(self, seconds: float) -> None:
         """Block until ``advance`` has moved past the given time."""
-        with self._ticked:
+        with self._advanced:
             deadline = self._now + seconds
             while self._now < deadline:
-                self._ticked.wait()
+                self._advanced.wait()
 
     def wait(self, condition: threading.Condition, seconds: float) -> bool:
-        """Wait on a held condition; return False when the time ran out.
+        """Wait on a held condition; return False on time-out.
 
         Like any condition wait it may return early: callers check their
         predicate in a loop.
@@ -98,11 +98,11 @@
         deadline = self.now() + seconds
         if seconds <= 0:
             return False
-        with self._ticked:
+        with self._advanced:
             self._waiting.append(condition)
         try:
             condition.wait()
         finally:
-            with self._ticked:
+            with self._advanced:
                 self._waiting.remove(condition)
         return self.now() < deadline
--- a/packages/common/src/dogwoodspool_common/const.py
+++ b/packages/common/src/dogwoodspool_common/const.py
@@ -8,17 +8,17 @@
 HEADER_TRACEPARENT: Final = "traceparent"
 
 DEFAULT_HTTP_TIMEOUT: Final = 2.0
-# Above the round trip between regions (40 ms), and below the 1 s after which a lost
-# opening packet would be sent again: another try is sooner.
+# Above the round trip between regions (40 ms), and below the 1 s after which TCP
+# resends a lost SYN packet: another attempt of the caller is sooner.
 HTTP_CONNECT_TIMEOUT: Final = 0.4
 DEFAULT_HTTP_THREADS: Final = 32
-# Connections that one server keeps open, most of them idle ones of proxies that have
-# asked it before; within the descriptors of a small instance.
+# Open connections of one server, most of them idle connections of proxies that have
+# called it before; fits the file descriptor limit of a small instance.
 MAX_HTTP_CONNECTIONS: Final = 3_000
 MAX_HTTP_BODY_BYTES: Final = 8 * 1024 * 1024
 
-# Messages of one line: what is read at a time, the longest one, and the connections of
-# peers that are served, each by a thread.
+# JSON lines protocol: bytes per read, maximum line length, and maximum number of peer
+# connections, each served by a thread.
 LINE_READ_BYTES: Final = 64 * 1024
 MAX_LINE_BYTES: Final = 4 * 1024 * 1024
 MAX_LINE_CONNECTIONS: Final = 1_000
@@ -27,24 +27,24 @@
 MILLISECONDS: Final = 1000.0
 FIRST_ERROR_STATUS: Final = 400
 
-# A peer that is cut off answers no keep-alive: found within about 4 s, while a process
-# that is only slow still acknowledges packets.
+# An unreachable peer does not acknowledge keep-alive probes and is detected within
+# about 4 s; a peer whose process is only slow still acknowledges packets.
 KEEPALIVE_IDLE_SECONDS: Final = 2
 KEEPALIVE_INTERVAL_SECONDS: Final = 1
 KEEPALIVE_PROBES: Final = 2
-UNACKNOWLEDGED_MS: Final = 2_000
+TCP_USER_TIMEOUT_MS: Final = 2_000
 
-# A control process that does not lead answers with this code, and names the leader.
+# Error code of a control process that is not the leader; the detail names the leader.
 CODE_NOT_LEADER: Final = "not_leader"
 
-# Lines that wait for a reader of the output; about 1 MB at 250 bytes a line.
+# Log lines queued while the output blocks; about 1 MB at 250 bytes a line.
 LOG_QUEUE_LINES: Final = 4_096
-# Longest wait at the end of a process for its last lines to be read.
+# Maximum time of each of the two waits at process exit for queued lines.
 LOG_FLUSH_SECONDS: Final = 0.5
-# Lines of one kind of event: enough to find each cause in, and at 0.1 ms a line
-# below a hundredth of a core for each kind.
+# Rate limit and burst per event: enough lines to diagnose a cause, and at 0.1 ms a line
+# less than a hundredth of a core for each event.
 LOG_LINES_PER_SECOND: Final = 20.0
 LOG_BURST_LINES: Final = 200.0
 
-# Clock time before all others, for what has not happened yet.
+# Time before all others, for events that have not happened yet.
 NEVER: Final = float("-inf")
--- a/packages/common/src/dogwoodspool_common/counters.py
+++ b/packages/common/src/dogwoodspool_common/counters.py
@@ -1,4 +1,4 @@
-"""Counts and latencies of a proxy, for its metrics page."""
+"""Counters and latency histograms of a proxy, for its metrics page."""
 
 import threading
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class Counters:
-    """Count what the proxy decides."""
+    """Event counters and latency histograms."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -22,7 +22,7 @@
         self._latencies: dict[str, HdrHistogram] = {}
 
     def read_served(self, group: str, by_primary: bool) -> None:
-        """Count a read by who served it."""
+        """Count a read by the role of the server that served it."""
         served_by = "primary" if by_primary else "replica"
         self.add(f'reads_total{{group="{group}",served_by="{served_by}"}}')
 
@@ -32,7 +32,7 @@
             self._counts[name] += 1
 
     def answered(self, kind: str, outcome: str, seconds: float) -> None:
-        """Count one answered statement and its latency."""
+        """Count one answered statement and record its latency in seconds."""
         microseconds = min(HIGHEST_US, max(LOWEST_US, int(seconds * MICROSECONDS)))
         with self._lock:
             self._counts[f'statements_total{{kind="{kind}",outcome="{outcome}"}}'] += 1
--- a/packages/common/src/dogwoodspool_common/errors.py
+++ b/packages/common/src/dogwoodspool_common/errors.py
@@ -2,22 +2,22 @@
 
 
 class DogwoodspoolError(Exception):
-    """Base of every error that the system's own libraries raise."""
+    """Base of all errors raised by the system's libraries."""
 
 
 class HttpError(DogwoodspoolError):
-    """Base of the errors of calls between the system's processes."""
+    """Base of errors of calls between the system's processes."""
 
 
 class PeerUnreachableError(HttpError):
-    """Report that no complete answer came from the peer.
+    """Report that no complete answer was received from the peer.
 
     The request may or may not have been processed by the peer.
     """
 
 
 class PeerNotConnectedError(PeerUnreachableError):
-    """Report that no connection to the peer came up: nothing was sent."""
+    """Report that no connection to the peer was established; nothing was sent."""
 
 
 class PeerRefusedError(HttpError):
@@ -26,7 +26,7 @@
     Attributes:
         status: HTTP status of the answer.
         code: short machine-readable reason from the answer's body.
-        detail: the reason in words, or a value that the code promises.
+        detail: description of the reason, or a value defined by the code.
     """
 
     def __init__(self, status: int, code: str, detail: str) -> None:
@@ -37,4 +37,4 @@
 
 
 class SettingsError(DogwoodspoolError):
-    """Report flags or environment variables that do not validate."""
+    """Report settings that are missing or invalid."""
--- a/packages/common/src/dogwoodspool_common/http_client.py
+++ b/packages/common/src/dogwoodspool_common/http_client.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP towards the system's other processes."""
+"""Client for JSON over HTTP between the system's processes."""
 
 import json
 from typing import Any
@@ -22,9 +22,9 @@
 class JsonClient:
     """Call JSON endpoints of other processes.
 
-    Calls are never repeated here: whether a call may be repeated is known only
-    to the caller. Without a signer requests carry no signature, as fits a network
-    that itself keeps strangers out.
+    Calls are never retried here: only the caller knows whether a call may be
+    repeated. Without a signer requests are not signed, which suits a network that
+    itself blocks untrusted peers.
 
     Example:
         >>> client = JsonClient(RequestSigner(b"shared key"))
@@ -44,16 +44,16 @@
         query: dict[str, str] | None = None,
         timeout: float = DEFAULT_HTTP_TIMEOUT,
     ) -> dict[str, Any]:
-        """Read one resource.
+        """Send a GET request and return the answer.
 
         Args:
             address: the peer.
-            path: path of the resource, beginning with a slash.
-            query: parameters of the query string.
+            path: path of the endpoint, beginning with a slash.
+            query: query parameters.
             timeout: seconds for the whole exchange.
 
         Raises:
-            PeerUnreachableError: no complete answer came in time.
+            PeerUnreachableError: no complete answer was received in time.
             PeerRefusedError: the answer has an error status.
         """
         target = f"{path}?{urlencode(query)}" if query else path
@@ -66,7 +66,7 @@
         body: dict[str, Any],
         timeout: float = DEFAULT_HTTP_TIMEOUT,
     ) -> dict[str, Any]:
-        """Send one message; arguments and errors as for ``get``."""
+        """Send a POST request; arguments and errors as for ``get``."""
         content = json.dumps(body, separators=(",", ":")).encode()
         return self._call("POST", address, path, content, timeout)
 
@@ -103,5 +103,7 @@
                 str(answer.get("message", "")),
             )
         if not isinstance(answer, dict):
-            raise PeerUnreachableError(f"{address}{target}: answer is no object")
+            raise PeerUnreachableError(
+                f"{address}{target}: answer is not a JSON object"
+            )
         return answer
--- a/packages/common/src/dogwoodspool_common/http_server.py
+++ b/packages/common/src/dogwoodspool_common/http_server.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP for the system's other processes, balancers and operators."""
+"""Server for JSON over HTTP: other processes, balancers and operators."""
 
 import json
 import logging
@@ -29,14 +29,14 @@
 class JsonServer:
     """Serve routes with a bounded pool of threads.
 
-    Long polls hold a thread each while they wait, so ``threads`` bounds them.
+    Each long poll occupies a thread while it waits, so ``threads`` limits them.
 
     Args:
-        address: where to listen; port 0 takes any free one.
-        signer: checks signatures; None where the network itself keeps strangers
-            out, and then every endpoint is open.
+        address: address to listen on; port 0 selects any free port.
+        signer: checks signatures; None where the network itself blocks untrusted
+            peers, in which case every endpoint is open.
         routes: the endpoints.
-        threads: requests that are answered at a time.
+        threads: maximum requests handled at a time.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._templates = [
             route for route in self._routes.values() if route.path.endswith("}")
         ]
-        _follow_library_warnings()
+        _forward_library_warnings()
         listener = socket.create_server((address.host, address.port), backlog=1024)
         self._address = Address(address.host, int(listener.getsockname()[1]))
         server = create_server(
@@ -61,13 +61,14 @@
             max_request_body_size=MAX_HTTP_BODY_BYTES,
             clear_untrusted_proxy_headers=True,
             ident="dogwoodspool",
-            # The library's own limit of 100 shut out peers where proxies were many.
+            # The library's default of 100 locks out peers where there are many proxies.
             connection_limit=MAX_HTTP_CONNECTIONS,
             asyncore_use_poll=True,
         )
         self._server = cast(BaseWSGIServer, server)  # It has one socket.
         self._server.channel_class = _Channel
-        # Without keep-alive those of callers without power would count for minutes.
+        # Without keep-alive, connections of callers that lost power would occupy the
+        # connection limit for minutes.
         self._server.adj.socket_options = list(TCP_OPTIONS)
         self._thread = threading.Thread(
             target=self._server.run, name="http-server", daemon=True
@@ -75,16 +76,16 @@
 
     @property
     def address(self) -> Address:
-        """The address in use, with the real port where 0 was asked for."""
+        """The bound address, with the actual port if 0 was requested."""
         return self._address
 
     def set_up(self) -> None:
-        """Begin to answer."""
+        """Start serving requests."""
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop answering and close the listening socket."""
-        # Threads first: one that still answers needs the server's wake-up pipe.
+        """Stop serving requests and close the listening socket."""
+        # Threads first: one that is still answering needs the server's wake-up pipe.
         self._server.task_dispatcher.shutdown(timeout=1)
         self._server.close()
 
@@ -111,10 +112,12 @@
         query = environ.get("QUERY_STRING", "")
         target = f"{path}?{query}" if query else path
         signature = environ.get(_environ_key(HEADER_SIGNATURE), "")
-        is_checked = self._signer is not None and not route.is_open
-        if is_checked and not self._is_signed(signature, method, target, body):
+        needs_signature = self._signer is not None and not route.is_open
+        if needs_signature and not self._is_signed(signature, method, target, body):
             log_event("request_refused", level="WARNING", path=path, reason="signature")
-            return error_response(401, "bad_signature", "the shared key does not match")
+            return error_response(
+                401, "bad_signature", "signature is missing or invalid"
+            )
         try:
             content = json.loads(body) if body else None
         except ValueError as error:
@@ -141,20 +144,20 @@
 
 
 class _Channel(HTTPChannel):
-    """One connection, whose warnings name the peer."""
+    """One connection; its log warnings name the peer."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        # The library logs by it only, and an adapter has all methods for that.
+        # The library uses the logger only to log, which an adapter supports.
         named: Any = logging.LoggerAdapter(self.logger, {"peer": self.addr})
         self.logger = named
 
 
 class _LibraryWarnings(logging.Handler):
-    """Log what the HTTP library warns of, such as requests that wait for a thread."""
+    """Forward warnings of the HTTP library, such as requests waiting for a thread."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Turn one of the library's warnings into an event of one line."""
+        """Log one of the library's warnings as an event."""
         error = record.exc_info[1] if record.exc_info else None
         log_rate_limited(
             "http_server_warning",
@@ -166,14 +169,14 @@
 
 
 def _peer_of(record: logging.LogRecord) -> Address | None:
-    """Return whose connection a warning is about, where it is about one."""
+    """Return the peer that a warning is about; None where it names none."""
     peer = getattr(record, "peer", None)
     return None if peer is None else Address(str(peer[0]), int(peer[1]))
 
 
-def _follow_library_warnings() -> None:
+def _forward_library_warnings() -> None:
     logger = logging.getLogger("waitress")
-    if not any(isinstance(one, _LibraryWarnings) for one in logger.handlers):
+    if not any(isinstance(handler, _LibraryWarnings) for handler in logger.handlers):
         logger.addHandler(_LibraryWarnings(logging.WARNING))
         logger.propagate = False
 
--- a/packages/common/src/dogwoodspool_common/json_lines.py
+++ b/packages/common/src/dogwoodspool_common/json_lines.py
@@ -1,7 +1,7 @@
-"""JSON over persistent TCP connections, a line for each message.
+"""JSON over persistent TCP connections, one line per message.
 
-For calls that are many and short, between neighbours: a call of ``JsonClient`` costs
-several times the processor time, most of it for HTTP's own headers.
+For frequent short calls between neighbours: a call with ``JsonClient`` takes several
+times the CPU time, most of it for HTTP headers.
 """
 
 import json
@@ -20,7 +20,7 @@
     MAX_LINE_BYTES,
     MAX_LINE_CONNECTIONS,
     MILLISECONDS,
-    UNACKNOWLEDGED_MS,
+    TCP_USER_TIMEOUT_MS,
 )
 from .errors import PeerNotConnectedError, PeerRefusedError, PeerUnreachableError
 from .log import log_event, log_rate_limited
@@ -33,11 +33,11 @@
 
 
 class JsonLineServer:
-    """Serve routes to peers that keep connections open, one thread for each of them.
+    """Serve routes over persistent connections, with one thread per connection.
 
     Args:
-        address: where to listen; port 0 takes any free one.
-        routes: the endpoints; only their paths count.
+        address: address to listen on; port 0 selects any free port.
+        routes: the endpoints; only their paths are used.
     """
 
     def __init__(self, address: Address, routes: Iterable[Route]) -> None:
@@ -53,22 +53,22 @@
 
     @property
     def address(self) -> Address:
-        """The address in use, with the real port where 0 was asked for."""
+        """The bound address, with the actual port if 0 was requested."""
         return self._address
 
     def set_up(self) -> None:
-        """Begin to accept."""
+        """Start accepting."""
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop accepting, and close what is open."""
+        """Stop accepting and close open connections."""
         self._is_closed = True
-        _end(self._listener)  # Wakes the thread that accepts.
+        _shut_down(self._listener)  # Wakes the accepting thread.
         self._listener.close()
         with self._lock:
             connections = list(self._open)
         for connection in connections:
-            _end(connection)
+            _shut_down(connection)
 
     def _run(self) -> None:
         while not self._is_closed:
@@ -84,7 +84,9 @@
                 if not is_full:
                     self._open.add(connection)
             if is_full:
-                log_rate_limited("peer_refused", peer=peer, reason="too many")
+                log_rate_limited(
+                    "peer_refused", peer=peer, reason="connection limit reached"
+                )
                 connection.close()
                 continue
             threading.Thread(
@@ -93,10 +95,10 @@
 
     def _serve(self, connection: socket.socket) -> None:
         try:
-            _prepare(connection)
+            _set_socket_options(connection)
             buffer = bytearray()
             while (line := _read_line(connection, buffer)) is not None:
-                connection.sendall(_encoded(self._answer(line)))
+                connection.sendall(_encode(self._answer(line)))
         except (OSError, ValueError) as error:
             log_rate_limited("peer_lost", level="DEBUG", reason=error)
         finally:
@@ -110,7 +112,7 @@
 
     def _respond(self, message: Any) -> JsonResponse:
         if not isinstance(message, dict):
-            return error_response(400, "bad_request", "a message is an object")
+            return error_response(400, "bad_request", "message must be a JSON object")
         path = str(message.get("path", ""))
         route = self._routes.get(path)
         if route is None:
@@ -120,13 +122,13 @@
 
 
 class JsonLineClient:
-    """Call endpoints of ``JsonLineServer``; calls are never repeated here.
+    """Call endpoints of ``JsonLineServer``; calls are never retried here.
 
     Args:
-        max_connections: idle connections to one peer that are kept.
-        connect_timeout: seconds for a new connection.
-        unacknowledged_ms: milliseconds in which a peer's machine acknowledges what was
-            sent, however long its answer takes; without it the machine is gone.
+        max_connections: maximum idle connections kept per peer.
+        connect_timeout: seconds to establish a new connection.
+        user_timeout_ms: milliseconds within which a peer's machine must acknowledge
+            sent data, however long the answer takes; otherwise the connection fails.
 
     Example:
         >>> JsonLineClient().post(Address("10.1.0.8", 7441), "/v1/x", {"a": 1}, 0.5)
@@ -137,11 +139,11 @@
         self,
         max_connections: int = 8,
         connect_timeout: float = HTTP_CONNECT_TIMEOUT,
-        unacknowledged_ms: int = UNACKNOWLEDGED_MS,
+        user_timeout_ms: int = TCP_USER_TIMEOUT_MS,
     ) -> None:
         self._max_connections = max_connections
         self._connect_timeout = connect_timeout
-        self._unacknowledged_ms = unacknowledged_ms
+        self._user_timeout_ms = user_timeout_ms
         self._lock = threading.Lock()
         self._idle: dict[Address, list[_Connection]] = {}
 
@@ -157,8 +159,8 @@
             timeout: seconds for the whole exchange.
 
         Raises:
-            PeerNotConnectedError: no connection came up; nothing was sent.
-            PeerUnreachableError: no complete answer came in time.
+            PeerNotConnectedError: no connection was established; nothing was sent.
+            PeerUnreachableError: no complete answer was received in time.
             PeerRefusedError: the answer has an error status.
         """
         until = time.monotonic() + timeout
@@ -166,17 +168,17 @@
         traceparent = current_traceparent()
         if traceparent:
             message["traceparent"] = traceparent
-        connection = self._take(address) or self._connect(address, timeout)
+        connection = self._take_idle(address) or self._connect(address, timeout)
         try:
-            connection.send(_encoded(message), until)
+            connection.send(_encode(message), until)
             response = json.loads(connection.read_line(until))
             status, content = int(response["status"]), dict(response["body"])
         except (OSError, EOFError, ValueError, KeyError, TypeError) as error:
             connection.close()
-            # What silenced this one has likely silenced those that idle.
-            self._forget(address)
+            # The cause of this failure likely affects the idle connections too.
+            self._close_idle(address)
             raise PeerUnreachableError(f"{address}{path}: {error!r}") from error
-        self._keep(address, connection)
+        self._return_idle(address, connection)
         if status >= FIRST_ERROR_STATUS:
             raise PeerRefusedError(
                 status,
@@ -190,9 +192,9 @@
         with self._lock:
             addresses = list(self._idle)
         for address in addresses:
-            self._forget(address)
+            self._close_idle(address)
 
-    def _forget(self, address: Address) -> None:
+    def _close_idle(self, address: Address) -> None:
         with self._lock:
             idle = self._idle.pop(address, [])
         for connection in idle:
@@ -204,14 +206,14 @@
             connected = socket.create_connection((address.host, address.port), seconds)
         except OSError as error:
             raise PeerNotConnectedError(f"{address}: {error}") from error
-        _prepare(connected)
+        _set_socket_options(connected)
         connected.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._unacknowledged_ms
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._user_timeout_ms
         )
         return _Connection(connected)
 
-    def _take(self, address: Address) -> "_Connection | None":
-        """Take the idle connection that was used last, unless the peer closed it."""
+    def _take_idle(self, address: Address) -> "_Connection | None":
+        """Take the most recently used idle connection that the peer has not closed."""
         while True:
             with self._lock:
                 idle = self._idle.get(address)
@@ -220,7 +222,7 @@
                 return connection
             connection.close()
 
-    def _keep(self, address: Address, connection: "_Connection") -> None:
+    def _return_idle(self, address: Address, connection: "_Connection") -> None:
         with self._lock:
             idle = self._idle.setdefault(address, [])
             if len(idle) < self._max_connections:
@@ -230,9 +232,9 @@
 
 
 class _Connection:
-    """A client's connection, which waits by itself.
+    """A client's non-blocking connection, which polls before it reads or writes.
 
-    A socket with a time-out of its own takes two more system calls for each step.
+    A socket with its own time-out would take two more system calls for each step.
     """
 
     def __init__(self, connected: socket.socket) -> None:
@@ -242,16 +244,16 @@
         self._buffer = bytearray()
 
     def send(self, content: bytes, until: float) -> None:
-        """Send all; raise ``TimeoutError`` at ``time.monotonic()`` seconds."""
-        left = memoryview(content)
-        while left:
+        """Send all bytes; raise ``TimeoutError`` at ``time.monotonic()`` seconds."""
+        remaining = memoryview(content)
+        while remaining:
             try:
-                left = left[self._socket.send(left) :]
+                remaining = remaining[self._socket.send(remaining) :]
             except BlockingIOError:
                 self._wait(select.POLLOUT, until)
 
     def read_line(self, until: float) -> bytes:
-        """Return the next line; raise ``EOFError`` at the end, and like ``send``."""
+        """Return the next line; raise ``EOFError`` at the end, or as ``send``."""
         while (line := _take_line(self._buffer)) is None:
             self._wait(select.POLLIN, until)
             received = self._socket.recv(LINE_READ_BYTES)
@@ -261,7 +263,7 @@
         return line
 
     def has_input(self) -> bool:
-        """Tell whether it has ended, or holds what nobody asked for."""
+        """Return whether the peer closed it or sent unexpected data."""
         try:
             self._socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -271,27 +273,27 @@
         return True
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self._socket.close()
 
     def _wait(self, event: int, until: float) -> None:
         remaining = until - time.monotonic()
         self._poller.register(self._socket, event)
         if remaining <= 0 or not self._poller.poll(remaining * MILLISECONDS):
-            raise TimeoutError("no answer in time")
+            raise TimeoutError("no answer by the deadline")
 
 
-def _prepare(connection: socket.socket) -> None:
+def _set_socket_options(connection: socket.socket) -> None:
     for level, option, value in TCP_OPTIONS:
         connection.setsockopt(level, option, value)
 
 
-def _encoded(message: dict[str, Any]) -> bytes:
+def _encode(message: dict[str, Any]) -> bytes:
     return json.dumps(message, separators=(",", ":")).encode() + LINE_END
 
 
 def _read_line(connection: socket.socket, buffer: bytearray) -> bytes | None:
-    """Return the next line, None at the end; what follows it stays in the buffer."""
+    """Return the next line, None at the end; later bytes stay in the buffer."""
     while (line := _take_line(buffer)) is None:
         received = connection.recv(LINE_READ_BYTES)
         if not received:
@@ -301,18 +303,18 @@
 
 
 def _take_line(buffer: bytearray) -> bytes | None:
-    """Take the first line out of a buffer; None where its end is not there yet."""
+    """Remove and return the first line of a buffer; None while it is incomplete."""
     end = buffer.find(LINE_END)
     if end < 0:
         if len(buffer) > MAX_LINE_BYTES:
-            raise ValueError("a line is too long")
+            raise ValueError(f"line exceeds {MAX_LINE_BYTES} bytes")
         return None
     line = bytes(buffer[:end])
     del buffer[: end + 1]
     return line
 
 
-def _end(connection: socket.socket) -> None:
+def _shut_down(connection: socket.socket) -> None:
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError as error:
--- a/packages/common/src/dogwoodspool_common/log.py
+++ b/packages/common/src/dogwoodspool_common/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event."""
+"""Structured logs: one line of key=value pairs per event."""
 
 import atexit
 import queue
@@ -22,11 +22,11 @@
 
 
 class QueuedWriter:
-    """Write lines from a thread of its own, so that nobody waits for the output.
+    """Write lines from a background thread, so that logging never blocks.
 
-    A reader of standard output that stands still would otherwise hold up every
-    request that logs. When the queue is full a line is dropped and counted, and
-    the next line that gets through is preceded by the count.
+    Otherwise a stalled reader of standard output would block every request that
+    logs. When the queue is full a line is dropped and counted, and the count is
+    written before the next line.
     """
 
     def __init__(self, output: TextIO, capacity: int = LOG_QUEUE_LINES) -> None:
@@ -37,15 +37,15 @@
 
     @property
     def dropped(self) -> int:
-        """Lines dropped since the last count was written."""
+        """Number of lines dropped since the last count was written."""
         return self._dropped
 
     def set_up(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         self._thread.start()
 
     def unload(self) -> None:
-        """Write what is queued, as far as the reader lets it through."""
+        """Write queued lines; wait at most twice ``LOG_FLUSH_SECONDS``."""
         try:
             self._lines.put(None, timeout=LOG_FLUSH_SECONDS)
         except queue.Full:
@@ -53,7 +53,7 @@
         self._thread.join(LOG_FLUSH_SECONDS)
 
     def write(self, line: str) -> None:
-        """Queue one line; never waits."""
+        """Queue one line without blocking."""
         try:
             self._lines.put_nowait(line)
         except queue.Full:
@@ -70,10 +70,10 @@
 
 
 class LineBudget:
-    """Bound how many lines one kind of event may write.
+    """Limit the rate of log lines per event with a token bucket.
 
-    Under load thousands of requests may be refused for one reason. The lines that
-    get through tell how many were left out before them.
+    Under load thousands of requests may be rejected for the same reason. Lines that
+    are written report how many were suppressed before them.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._suppressed: dict[str, int] = {}
 
     def take(self, event: str, now: float) -> int | None:
-        """Return how many lines were left out before; None to leave this out."""
+        """Return the number of lines suppressed before; None to suppress this one."""
         with self._lock:
             tokens, filled_at = self._tokens.get(event, (self._burst, now))
             tokens = min(self._burst, tokens + (now - filled_at) * self._per_second)
@@ -106,11 +106,11 @@
 
 
 def set_up_logging(program: str, instance: str, level: str = "INFO") -> None:
-    """Send events of this process to standard output, without ever waiting for it.
+    """Send events of this process to standard output without blocking on it.
 
     Args:
-        program: name of the program, the same in every line.
-        instance: name of this process's instance.
+        program: program name, part of every line.
+        instance: instance name of this process, part of every line.
         level: lowest level that is written.
     """
     global _writer  # noqa: PLW0603
@@ -124,12 +124,12 @@
             format=f"{LOG_FORMAT} program={program} instance={instance}",
             level=level,
             backtrace=False,
-            diagnose=False,  # Local variables may hold secrets.
+            diagnose=False,  # Local variables may contain secrets.
         )
 
 
 def shut_down_logging() -> None:
-    """Write out what is queued."""
+    """Write queued lines and stop the writer."""
     global _writer  # noqa: PLW0603
     if _writer is not None:
         _writer.unload()
@@ -142,7 +142,7 @@
 def log_event(event: str, level: str = "INFO", **fields: Any) -> None:
     """Write one event with its fields.
 
-    Values of fields named like secrets are replaced.
+    Values of fields in ``SECRET_KEYS`` are redacted.
 
     Example:
         >>> log_event("grant_expired", group="orders", term=3)
@@ -152,7 +152,7 @@
 
 
 def log_rate_limited(event: str, level: str = "INFO", **fields: Any) -> None:
-    """Write one event that requests cause, at a bounded rate for each event.
+    """Write one event caused by requests, at a limited rate per event.
 
     Example:
         >>> log_rate_limited("request_refused", request="5c0e", reason="queue_full")
--- a/packages/common/src/dogwoodspool_common/models.py
+++ b/packages/common/src/dogwoodspool_common/models.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Position:
-    """A place in a database group's log.
+    """A position in a database group's log.
 
-    Terms grow with each change of primary; offsets count log entries from the
-    beginning of the group's life and go on across terms. Positions of one term
-    compare by offset. Across terms a comparison needs the group's term history,
-    see ``dogwoodspool_sessions``.
+    Terms increase with each change of primary; offsets count log entries from the
+    creation of the group and continue across terms. Positions of one term compare
+    by offset. Across terms a comparison needs the group's term history, see
+    ``dogwoodspool_sessions``.
 
     Example:
         >>> Position(term=2, offset=7) > Position(term=2, offset=5)
@@ -48,7 +48,7 @@
 
 
 class Role(StrEnum):
-    """What a backend server is in its database group."""
+    """Role of a backend server in its database group."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -63,21 +63,21 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendServer:
-    """A backend server as it announced itself.
+    """A backend server, as it last announced itself.
 
     Attributes:
         name: unique within the system.
         group: its database group.
-        failure_domain: where it runs.
-        address: where it answers statements.
-        slots: statements that it runs at a time; more wait inside it.
-        connections: connections that it takes; one more is refused.
-        is_leaving: it asks for no new work.
-        incarnation: grows with each start of the server's process, so that a late
-            word of an earlier process is told from one of the present; 0 where
-            the server says nothing of it.
-        is_gone: its process has ended. It stays recorded until another server is
-            known to hold every write that was acknowledged with its help.
+        failure_domain: failure domain that it runs in.
+        address: address at which it accepts statements.
+        slots: maximum statements that it runs at a time; more are queued in it.
+        connections: maximum connections; more are refused.
+        is_leaving: whether it wants no new work.
+        incarnation: increases with each start of the server's process, to detect
+            delayed messages of an earlier process; 0 where the server does not
+            report it.
+        is_gone: whether its process has ended. It stays recorded until another
+            server is known to hold every write acknowledged with its help.
     """
 
     name: str
@@ -95,9 +95,9 @@
     """Which commits a read must reflect.
 
     Attributes:
-        PRIMARY: every commit that was acknowledged before it.
-        BOUNDED_STALENESS: every commit older than a stated age.
-        READ_YOUR_WRITES: as before, and every commit of its own session.
+        PRIMARY: every commit that was acknowledged before the read.
+        BOUNDED_STALENESS: every commit older than a configured age.
+        READ_YOUR_WRITES: as BOUNDED_STALENESS, and every commit of its own session.
     """
 
     PRIMARY = "primary"
@@ -107,17 +107,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A database name that callers connect to, and what they are promised there.
+    """A database name that callers connect to, with its service guarantees.
 
     Attributes:
         name: unique within the system.
-        database: what callers name when they connect.
-        group: the database group that serves it.
-        consistency: which commits its reads reflect.
-        deadline_ms: time for one statement.
-        target_latency_ms: time in which a request should be answered.
-        priority: who goes first when requests wait; 0 is the highest.
-        max_age_ms: greatest age of data that reads may see, where it is bounded.
+        database: database name that callers send when they connect.
+        group: database group that serves it.
+        consistency: commits that its reads must reflect.
+        deadline_ms: time limit for one statement.
+        target_latency_ms: target for the latency of a request.
+        priority: precedence of queued requests; 0 is the highest.
+        max_age_ms: maximum age of data that reads may see; None for no limit.
     """
 
     name: str
@@ -132,15 +132,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """What a backend server said of itself when it was asked.
+    """Status that a backend server reported when queried.
 
     Attributes:
         server: name of the backend server.
-        role: its own view of its role.
-        position: how far its data is, in the lineage of the term it follows.
+        role: role as the server itself reports it.
+        position: position of its data, in the lineage of the term it follows.
         lag_ms: upper bound for the age of its data; None when it has never
             caught up with a primary.
-        is_leaving: it asks for no new work.
+        is_leaving: whether it wants no new work.
     """
 
     server: str
@@ -152,16 +152,16 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupState:
-    """A database group as control has committed it.
+    """Committed control state of a database group.
 
     Attributes:
         name: name of the group, also the callers' database name.
-        term: grows with each change of primary.
+        term: increases with each change of primary.
         primary: name of the primary; None while a promotion has not chosen one.
-        phase: whether a promotion is under way.
-        term_starts: for each term since the first, the position at which it
-            branched from the one before: entries after ``offset`` are of the
-            new term, and an older term's entries after it are lost.
+        phase: whether a promotion is in progress.
+        term_starts: for each term after the first, the position at which it
+            branched from the previous one: entries after ``offset`` belong to the
+            new term, and entries of an older term after it are lost.
     """
 
     name: str
--- a/packages/common/src/dogwoodspool_common/problems.py
+++ b/packages/common/src/dogwoodspool_common/problems.py
@@ -1,10 +1,10 @@
-"""Say in one line what is wrong with a message."""
+"""One-line descriptions of validation errors."""
 
 from pydantic import ValidationError
 
 
 def first_problem(error: ValidationError) -> str:
-    """Return where and why a message is invalid; never its values, which may be secret.
+    """Return where and why a message is invalid, without its possibly secret values.
 
     Example:
         >>> first_problem(error)
--- a/packages/common/src/dogwoodspool_common/process.py
+++ b/packages/common/src/dogwoodspool_common/process.py
@@ -19,9 +19,9 @@
 
 ENV_PREFIX: Final = "DOGWOODSPOOL_"
 EXIT_BAD_SETTINGS: Final = 2
-# The kernel's own record of the start may count on another clock, in a time namespace
-# for example: a start in the future would keep a voter from elections for good, one in
-# the distant past would let it vote against a leader that it has just heard.
+# The start time that the kernel reports may use another clock, for example in a time
+# namespace. A start time in the future would keep a voter out of elections permanently;
+# one in the distant past would let it vote against a leader it has just heard from.
 _LOADED_AT: Final = SystemClock().now()
 
 ModelT = TypeVar("ModelT", bound=BaseModel)
@@ -35,12 +35,13 @@
 ) -> ModelT:
     """Read a process's settings from flags, then from environment variables.
 
-    A flag ``--listen-port`` has the variable ``DOGWOODSPOOL_LISTEN_PORT`` and the
-    model's field ``listen_port``. Flags go first. Flags in ``usage`` have no
-    ``[default: ]``: defaults belong to the model.
+    The flag ``--listen-port`` corresponds to the variable
+    ``DOGWOODSPOOL_LISTEN_PORT`` and the model's field ``listen_port``. Flags take
+    precedence. Flags in ``usage`` have no ``[default: ]``: defaults belong to the
+    model.
 
     Raises:
-        SettingsError: with one line for each value that does not validate.
+        SettingsError: settings are invalid, with one line per value.
     """
     flags: Mapping[str, Any] = docopt(usage, argv=arguments, version=VERSION)
     variables = os.environ if environment is None else environment
@@ -59,7 +60,7 @@
 
 
 def run_program(main: Callable[[], int]) -> None:
-    """Run a program's main function and turn bad settings into one clear exit."""
+    """Run a program's main function; print invalid settings and exit with status 2."""
     try:
         sys.exit(main())
     except SettingsError as error:
@@ -68,9 +69,10 @@
 
 
 def process_started_at() -> float:
-    """Return a time on the clock of ``SystemClock`` before which nothing was heard.
+    """Return the start time of this process on the clock of ``SystemClock``.
 
-    It is when the first of the system's modules loaded.
+    It is when the first of the system's modules was loaded; no message was received
+    before it.
     """
     return _LOADED_AT
 
@@ -84,9 +86,9 @@
 
 
 def write_ready_file(path: Path | None, addresses: Mapping[str, Address]) -> None:
-    """Tell whoever started this process that it answers, and where.
+    """Write the addresses on which this process serves, to signal that it is ready.
 
-    The file appears whole, so that a reader never sees half of it.
+    The file is replaced atomically, so that a reader never sees partial content.
 
     Example:
         >>> write_ready_file(Path("proxy.ready"), {"address": Address("::1", 3306)})
--- a/packages/common/src/dogwoodspool_common/routes.py
+++ b/packages/common/src/dogwoodspool_common/routes.py
@@ -1,4 +1,4 @@
-"""Endpoints with JSON bodies, whatever carries them."""
+"""Endpoints with JSON bodies, independent of the transport."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JsonRequest:
-    """A request that has passed the check of its signature.
+    """A request whose signature, where required, has been verified.
 
     Attributes:
-        parameters: parts of the path that the route's template names.
+        parameters: path parameters captured by the route's template.
     """
 
     path: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JsonResponse:
-    """An answer; ``text`` replaces the JSON body where a page is plain text."""
+    """A response; ``text`` replaces the JSON body for plain-text pages."""
 
     body: Mapping[str, Any] = field(default_factory=dict)
     status: int = 200
@@ -42,10 +42,10 @@
 
     Attributes:
         method: HTTP method.
-        path: exact path, or a template whose last part is a name in braces, such
-            as ``/servers/{name}``.
-        handler: called in a thread of the server's pool.
-        is_open: the endpoint answers without a signature, as a balancer's
+        path: exact path, or a template whose last segment is a name in braces,
+            such as ``/servers/{name}``.
+        handler: called in a thread of the server.
+        is_open: whether the endpoint accepts unsigned requests, as a balancer's
             readiness check needs.
     """
 
@@ -56,12 +56,12 @@
 
 
 def error_response(status: int, code: str, message: str) -> JsonResponse:
-    """Build an error answer that ``JsonClient`` understands."""
+    """Build an error response in the format that ``JsonClient`` expects."""
     return JsonResponse({"error": code, "message": message}, status)
 
 
 def answer(route: Route, request: JsonRequest, traceparent: str | None) -> JsonResponse:
-    """Have an endpoint answer a request; its errors are answers too."""
+    """Call the handler of a route; turn its errors into error responses."""
     try:
         if traceparent is None:
             return route.handler(request)
@@ -72,6 +72,6 @@
     except DogwoodspoolError as error:
         return error_response(503, type(error).__name__, str(error))
     except Exception as error:  # noqa: BLE001
-        # A handler's fault must cost its own request only, not the thread.
+        # A bug in a handler must fail only its own request, not the thread.
         log_event("handler_failed", level="ERROR", path=route.path, error=repr(error))
         return error_response(500, "internal", type(error).__name__)
--- a/packages/common/src/dogwoodspool_common/span_recorder.py
+++ b/packages/common/src/dogwoodspool_common/span_recorder.py
@@ -1,4 +1,4 @@
-"""What records spans, whatever library does it."""
+"""Interfaces for recording spans, independent of the tracing library."""
 
 from contextlib import AbstractContextManager
 from typing import Protocol
@@ -7,10 +7,10 @@
 
 
 class Span(Protocol):
-    """One hop that is being recorded."""
+    """One span that is being recorded."""
 
     def set_attribute(self, key: str, value: SpanAttribute) -> None:
-        """Add a fact about the hop."""
+        """Set an attribute of the span."""
         ...
 
 
@@ -20,7 +20,7 @@
     def span(
         self, name: str, traceparent: str | None, attributes: dict[str, SpanAttribute]
     ) -> AbstractContextManager[Span]:
-        """Record one hop as the current span of this thread."""
+        """Record a span as the current one of this thread."""
         ...
 
     def current_traceparent(self) -> str | None:
--- a/packages/common/src/dogwoodspool_common/trace.py
+++ b/packages/common/src/dogwoodspool_common/trace.py
@@ -1,7 +1,7 @@
-"""Traces: a span for each hop.
+"""Tracing with one span per hop.
 
-The tracing library is loaded only where spans are recorded: it takes 0.13 s of a
-process's start, in which callers have no service after a restart.
+The tracing library is imported only where spans are recorded: the import adds 0.13 s to
+the start of a process, during which callers are not served after a restart.
 """
 
 from collections.abc import Iterator
@@ -11,19 +11,19 @@
 from .span_recorder import Span, SpanAttribute, SpanRecorder
 
 
-class SilentSpan:
-    """A hop that nobody records."""
+class NoOpSpan:
+    """A span that is not recorded."""
 
     def set_attribute(self, key: str, value: SpanAttribute) -> None:
-        """Forget the fact."""
+        """Ignore the attribute."""
 
 
 _recorder: SpanRecorder | None = None
-_silent = SilentSpan()
+_no_op_span = NoOpSpan()
 
 
 def set_up_tracing(program: str, instance: str, path: Path | None) -> None:
-    """Record spans of this process to a file; without a path record none."""
+    """Record spans of this process to a file; without a path disable tracing."""
     global _recorder  # noqa: PLW0603
     if path is None:
         return
@@ -36,16 +36,16 @@
 def span(
     name: str, traceparent: str | None = None, **attributes: SpanAttribute
 ) -> Iterator[Span]:
-    """Record one hop as the current span.
+    """Record a span as the current one.
 
     Args:
-        name: the hop, such as ``route`` or ``backend.statement``.
+        name: span name, such as ``route`` or ``backend.statement``.
         traceparent: W3C trace context of the caller; None continues the
             current span of this thread.
-        attributes: facts about the hop; never statements or secrets.
+        attributes: span attributes; never statements or secrets.
     """
     if _recorder is None:
-        yield _silent
+        yield _no_op_span
         return
     with _recorder.span(name, traceparent, attributes) as current:
         yield current
--- a/packages/common/src/dogwoodspool_common/trace_file.py
+++ b/packages/common/src/dogwoodspool_common/trace_file.py
@@ -27,7 +27,7 @@
 
 
 class JsonLinesExporter(SpanExporter):
-    """Append one JSON object for each finished span to a file."""
+    """Append one JSON object per finished span to a file."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("a", encoding="utf-8")
@@ -58,7 +58,7 @@
     def span(
         self, name: str, traceparent: str | None, attributes: dict[str, SpanAttribute]
     ) -> AbstractContextManager[Span]:
-        """Record one hop as the current span of this thread."""
+        """Record a span as the current one of this thread."""
         context = None
         if traceparent is not None:
             context = _propagator.extract({HEADER_TRACEPARENT: traceparent})
--- a/tests/common/test_clock.py
+++ b/tests/common/test_clock.py
@@ -1,4 +1,4 @@
-"""Tests of the runtime's clock."""
+"""Tests of the clocks."""
 
 import threading
 import unittest
@@ -7,9 +7,9 @@
 
 
 class ManualClockTests(unittest.TestCase):
-    """The paused clock moves only when a test advances it."""
+    """The manual clock moves only when a test advances it."""
 
-    def test_sleep_returns_once_time_has_passed(self) -> None:
+    def test_sleep_returns_after_the_time_has_passed(self) -> None:
         clock = ManualClock()
         woke = threading.Event()
 
@@ -26,7 +26,7 @@
         thread.join()
         self.assertGreaterEqual(clock.now(), 2.0)
 
-    def test_wait_without_time_returns_at_once(self) -> None:
+    def test_wait_with_zero_timeout_returns_immediately(self) -> None:
         condition = threading.Condition()
         with condition:
             self.assertFalse(ManualClock().wait(condition, 0))
--- a/tests/common/test_http.py
+++ b/tests/common/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of HTTP with JSON between processes."""
+"""Tests of JSON over HTTP between processes."""
 
 import unittest
 from http.client import HTTPConnection
@@ -17,7 +17,7 @@
 
 
 class HttpTests(unittest.TestCase):
-    """Routes answer by method and path, signed or open."""
+    """Requests are routed by method and path, signed or open."""
 
     def serve(self, signer: RequestSigner | None, *routes: Route) -> Address:
         server = JsonServer(Address("127.0.0.1", 0), signer, routes, threads=2)
@@ -30,7 +30,7 @@
         self.addCleanup(client.close)
         return client
 
-    def test_a_template_names_the_last_part_of_the_path(self) -> None:
+    def test_template_captures_the_last_path_segment(self) -> None:
         def show(request: JsonRequest) -> JsonResponse:
             return JsonResponse({"name": request.parameters["name"]})
 
@@ -41,7 +41,7 @@
             with self.assertRaises(PeerRefusedError, msg=path):
                 client.get(address, path)
 
-    def test_headers_of_an_answer_are_sent(self) -> None:
+    def test_response_headers_are_sent(self) -> None:
         moved = JsonResponse(status=307, headers={"Location": "http://10.0.0.1/x"})
         address = self.serve(None, Route("GET", "/x", lambda _request: moved))
         connection = HTTPConnection(address.host, address.port, timeout=5)
@@ -51,7 +51,7 @@
         self.assertEqual(answer.status, 307)
         self.assertEqual(answer.getheader("Location"), "http://10.0.0.1/x")
 
-    def test_without_a_signature_a_signed_endpoint_refuses(self) -> None:
+    def test_unsigned_request_to_a_signed_endpoint_is_rejected(self) -> None:
         route = Route("GET", "/x", lambda _request: JsonResponse({"a": 1}))
         address = self.serve(RequestSigner(b"key"), route)
         with self.assertRaises(PeerRefusedError) as caught:
@@ -60,8 +60,8 @@
         signed = self.client(RequestSigner(b"key"))
         self.assertEqual(signed.get(address, "/x"), {"a": 1})
 
-    def test_a_machine_that_does_not_answer_is_given_up_soon(self) -> None:
-        # An instance without power answers no opening packet. The next one would
-        # be sent a second later, and a proxy that waits for it has no state.
+    def test_unreachable_machine_fails_within_the_timeout(self) -> None:
+        # An instance that lost power does not answer the SYN packet. TCP resends it
+        # only after 1 s, and a proxy that waits for that has no state meanwhile.
         with self.assertRaises(PeerUnreachableError):
             self.client(None).get(Address("127.0.0.1", 9), "/x", timeout=1.0)
--- a/tests/common/test_http_connections.py
+++ b/tests/common/test_http_connections.py
@@ -1,11 +1,11 @@
-"""Tests of an HTTP server with more connections than its library's default.
+"""Tests of an HTTP server with more connections than its library's default limit.
 
-A change that was confirmed did not reach some proxies at all, and a control process
-that was needed for a quorum got no votes: it accepted no connection any more. The HTTP
-library stops at 100 open connections, each proxy keeps one to every control process
-that it has asked, and those of proxies that lost their power stay open for two minutes.
-On a deployment of 76 proxies the leader wrote this 1.4 s after the start, and did not
-listen again; with 194 proxies 97 had no view 23 s after the others:
+The HTTP library stops accepting at 100 open connections. Each proxy keeps a connection
+to every control process that it has called, and connections of proxies that lost power
+stay open for two minutes. A control process at the limit received no votes, though it
+was needed for a quorum, and confirmed changes did not reach some proxies. With 76
+proxies the leader logged the following 1.4 s after its start and accepted no connection
+again; with 194 proxies 97 of them had no view 23 s after the others:
 
     total open connections reached the connection limit, no longer accepting ...
 """
@@ -20,9 +20,9 @@
 
 from dogwoodspool_common import Address, JsonRequest, JsonResponse, JsonServer, Route
 
-CALLERS = 1_200
-PATIENCE_SECONDS = 10.0
-# Columns of the kernel's table of connections, and the mark of a keep-alive timer.
+CONNECTIONS = 1_200
+TIMEOUT_SECONDS = 10.0
+# Columns in /proc/net/tcp, and the value of an active keep-alive timer.
 LOCAL_COLUMN, TIMER_COLUMN = 1, 5
 KEEPALIVE_TIMER = "02:"
 
@@ -32,11 +32,11 @@
 
 
 class ConnectionTests(unittest.TestCase):
-    """Idle connections keep nobody out, and do not outlast their callers' machines."""
+    """Idle connections do not block new ones, and lost callers are detected."""
 
     def setUp(self) -> None:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        wanted = min(hard, 4 * CALLERS)
+        wanted = min(hard, 4 * CONNECTIONS)
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
         route = Route("GET", "/live", answer)
         server = JsonServer(Address("127.0.0.1", 0), None, [route], threads=2)
@@ -46,7 +46,7 @@
 
     def connect(self) -> socket.socket:
         sock = socket.create_connection(
-            (self.address.host, self.address.port), PATIENCE_SECONDS
+            (self.address.host, self.address.port), TIMEOUT_SECONDS
         )
         self.addCleanup(sock.close)
         return sock
@@ -55,19 +55,19 @@
         sock.sendall(b"GET /live HTTP/1.1\r\nHost: one\r\n\r\n")
         return sock.recv(4096).split(b"\r\n")[0]
 
-    def test_connections_that_idle_keep_nobody_out(self) -> None:
-        """Guard against a limit of connections that suits a few proxies only."""
-        for _ in range(CALLERS):
+    def test_idle_connections_do_not_block_new_ones(self) -> None:
+        """Guard against a connection limit that only suits few proxies."""
+        for _ in range(CONNECTIONS):
             self.assertEqual(self.ask(self.connect()), b"HTTP/1.1 200 OK")
 
-    def test_the_kernel_looks_after_connections_that_idle(self) -> None:
-        """Guard against connections that outlast the power of their callers."""
+    def test_keepalive_is_enabled_on_connections(self) -> None:
+        """Guard against connections that stay open after their callers lost power."""
         sock = self.connect()
         self.ask(sock)
-        self.assertEqual(self.timers(), [KEEPALIVE_TIMER])
+        self.assertEqual(self.active_timers(), [KEEPALIVE_TIMER])
 
-    def test_what_the_library_warns_of_is_an_event(self) -> None:
-        """Guard against lines of another form, a traceback for each lost peer."""
+    def test_library_warning_is_logged_as_an_event(self) -> None:
+        """Guard against unstructured log lines with a traceback for each lost peer."""
         with patch("dogwoodspool_common.http_server.log_rate_limited") as log:
             try:
                 raise TimeoutError("timed out")
@@ -81,8 +81,8 @@
             peer=None,
         )
 
-    def test_what_the_library_warns_of_a_connection_names_its_peer(self) -> None:
-        """Guard against hundreds of lines that do not say who was lost."""
+    def test_library_warning_about_a_connection_names_the_peer(self) -> None:
+        """Guard against hundreds of log lines that do not name the lost peer."""
         sock = self.connect()
         self.ask(sock)
         host, port = sock.getsockname()
@@ -92,7 +92,7 @@
             channel.logger.warning("Socket error")
         self.assertEqual(log.call_args.kwargs["peer"], Address(host, port))
 
-    def timers(self) -> list[str]:
+    def active_timers(self) -> list[str]:
         """Return the timers of the server's established connections."""
         port = f":{self.address.port:04X}"
         rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()]
--- a/tests/common/test_log.py
+++ b/tests/common/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log's bounds."""
+"""Tests of the limits of logging."""
 
 import io
 import threading
@@ -8,7 +8,7 @@
 
 
 class BlockedOutput(io.StringIO):
-    """An output whose reader stands still until it is let go."""
+    """An output that blocks until it is released."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,11 +20,11 @@
 
 
 class QueuedWriterTests(unittest.TestCase):
-    """Writing a line never waits for whoever reads the output."""
+    """Writing a line never blocks on the output."""
 
-    def test_lines_are_dropped_and_counted_while_nobody_reads(self) -> None:
-        # The collector of logs stands still. Every request that logs would wait
-        # for it, and callers would see a proxy that stands still.
+    def test_lines_are_dropped_and_counted_while_output_blocks(self) -> None:
+        # A stalled log collector must not block the requests that log, or the proxy
+        # would appear to hang.
         output = BlockedOutput()
         writer = QueuedWriter(output, capacity=3)
         writer.set_up()
@@ -35,7 +35,7 @@
         writer.unload()
         self.assertIn("event=log_lines_dropped", output.getvalue())
 
-    def test_what_is_queued_is_written_at_the_end(self) -> None:
+    def test_queued_lines_are_written_on_unload(self) -> None:
         output = io.StringIO()
         writer = QueuedWriter(output)
         writer.set_up()
@@ -45,15 +45,15 @@
 
 
 class LineBudgetTests(unittest.TestCase):
-    """One kind of event writes a bounded number of lines."""
+    """The rate of lines per event is limited."""
 
-    def test_the_rest_is_counted_by_the_next_line(self) -> None:
+    def test_next_line_reports_the_suppressed_count(self) -> None:
         budget = LineBudget(per_second=1, burst=2)
         taken = [budget.take("refused", now=0.0) for _ in range(5)]
         self.assertEqual(taken, [0, 0, None, None, None])
         self.assertEqual(budget.take("refused", now=1.0), 3)
 
-    def test_each_event_has_its_own(self) -> None:
+    def test_events_are_limited_independently(self) -> None:
         budget = LineBudget(per_second=1, burst=1)
         self.assertEqual(budget.take("one", now=0.0), 0)
         self.assertEqual(budget.take("other", now=0.0), 0)
--- a/tests/common/test_process.py
+++ b/tests/common/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of what a process knows of itself."""
+"""Tests of process information."""
 
 import unittest
 from unittest import mock
@@ -7,11 +7,11 @@
 
 
 class ProcessStartTests(unittest.TestCase):
-    """The start of a process lies on the clock that its leases are counted on."""
+    """The start time of a process is on the clock that measures leases."""
 
-    def test_the_start_lies_before_now_on_the_same_clock(self) -> None:
-        # The kernel's record of the start may count on another clock, which is
-        # ahead: a voter then refused every vote for as long as the two differ.
+    def test_start_time_uses_the_clock_of_leases(self) -> None:
+        # The start time that the kernel reports may use another clock that is ahead;
+        # a voter then refused every vote for as long as the two differed.
         now = SystemClock().now()
         ahead = " ".join(["0"] * 19 + [str(10**12)] + ["0"] * 30)
         with mock.patch("pathlib.Path.read_text", return_value=f"1 (core) {ahead}"):
