--- a/packages/common/src/dogwoodspool_common/log.py
+++ b/packages/common/src/dogwoodspool_common/log.py
@@ -69,7 +69,7 @@
                 self._output.flush()
 
 
-class LineBudget:
+class EventRateLimiter:
     """Limit the rate of log lines per event with a token bucket.
 
     Under load thousands of requests may be rejected for the same reason. Lines that
@@ -101,7 +101,7 @@
 
 
 _setup_lock = threading.Lock()
-_budget = LineBudget()
+_rate_limiter = EventRateLimiter()
 _writer: QueuedWriter | None = None
 
 
@@ -157,7 +157,7 @@
     Example:
         >>> log_rate_limited("request_refused", request="5c0e", reason="queue_full")
     """
-    left_out = _budget.take(event, time.monotonic())
+    left_out = _rate_limiter.take(event, time.monotonic())
     if left_out is None:
         return
     if left_out:
--- a/tests/common/test_log.py
+++ b/tests/common/test_log.py
@@ -4,7 +4,7 @@
 import threading
 import unittest
 
-from dogwoodspool_common.log import LineBudget, QueuedWriter
+from dogwoodspool_common.log import EventRateLimiter, QueuedWriter
 
 
 class BlockedOutput(io.StringIO):
@@ -44,16 +44,16 @@
         self.assertEqual(output.getvalue(), "last words\n")
 
 
-class LineBudgetTests(unittest.TestCase):
+class EventRateLimiterTests(unittest.TestCase):
     """The rate of lines per event is limited."""
 
     def test_next_line_reports_the_suppressed_count(self) -> None:
-        budget = LineBudget(per_second=1, burst=2)
-        taken = [budget.take("refused", now=0.0) for _ in range(5)]
+        limiter = EventRateLimiter(per_second=1, burst=2)
+        taken = [limiter.take("refused", now=0.0) for _ in range(5)]
         self.assertEqual(taken, [0, 0, None, None, None])
-        self.assertEqual(budget.take("refused", now=1.0), 3)
+        self.assertEqual(limiter.take("refused", now=1.0), 3)
 
     def test_events_are_limited_independently(self) -> None:
-        budget = LineBudget(per_second=1, burst=1)
-        self.assertEqual(budget.take("one", now=0.0), 0)
-        self.assertEqual(budget.take("other", now=0.0), 0)
+        limiter = EventRateLimiter(per_second=1, burst=1)
+        self.assertEqual(limiter.take("one", now=0.0), 0)
+        self.assertEqual(limiter.take("other", now=0.0), 0)
--- a/tests/consensus/test_vote_refusals.py
+++ b/tests/consensus/test_vote_refusals.py
@@ -5,7 +5,7 @@
 from contextlib import contextmanager
 from unittest import mock
 
-from dogwoodspool_common.log import LineBudget
+from dogwoodspool_common.log import EventRateLimiter
 from dogwoodspool_consensus.const import PATH_VOTE
 from dogwoodspool_consensus.messages import VoteRequest
 from loguru import logger
@@ -24,7 +24,7 @@
     lines: list[str] = []
     sink = logger.add(lambda line: lines.append(str(line)), format="{message}")
     try:
-        with mock.patch("dogwoodspool_common.log._budget", LineBudget()):
+        with mock.patch("dogwoodspool_common.log._rate_limiter", EventRateLimiter()):
             yield lines
     finally:
         logger.remove(sink)
