--- a/packages/ctl/src/dogwoodspool_ctl/apply_commands.py
+++ b/packages/ctl/src/dogwoodspool_ctl/apply_commands.py
@@ -7,7 +7,7 @@
 from dogwoodspool_settings import PlannedChange, plan
 from dogwoodspool_settings.declarations import load_declarations
 
-from .change_ids import derived_change_id
+from .change_ids import derive_change_id
 from .context import Arguments, Context
 from .errors import CtlError, DeclinedError
 from .models import TreeAnswer
@@ -28,10 +28,10 @@
 
 
 def run_apply(context: Context, arguments: Arguments) -> Report:
-    """Bring the tree to what is declared, one node after the other.
+    """Change the tree to the declared state, one node after the other.
 
-    A run that was cut off is simply started again: what it did is in the tree, and
-    what it may have sent has the same change id.
+    An interrupted run can be started again: the changes that were committed are in
+    the tree, and a change that may have been sent gets the same change id.
     """
     tree = context.control.tree()
     changes = _plan(context, Path(arguments["DIR"]), tree)
@@ -39,7 +39,7 @@
     accepted: list[dict[str, Any]] = []
     if changes:
         _confirm(context, changes, bool(arguments["--yes"]))
-        view_version = _send(context, changes, tree, accepted)
+        view_version = _send_changes(context, changes, tree, accepted)
     lines = [] if changes else [NOTHING_TO_CHANGE]
     data: dict[str, Any] = {"accepted": accepted, "view_version": view_version}
     if arguments["--wait"]:
@@ -53,21 +53,23 @@
 def _plan(context: Context, folder: Path, tree: TreeAnswer) -> list[PlannedChange]:
     reader = SecretReader(folder, context.environment)
     declared = {
-        node.path: reader.fill(node.overrides, node.secret_sources)
+        node.path: reader.resolve(node.overrides, node.secret_sources)
         for node in load_declarations(folder)
     }
     return plan(declared, tree.nodes, context.settings.key)
 
 
-def _confirm(context: Context, changes: list[PlannedChange], is_agreed: bool) -> None:
+def _confirm(
+    context: Context, changes: list[PlannedChange], is_confirmed: bool
+) -> None:
     for change in changes:
         for line in change_lines(change, context.settings.key):
             context.show(line)
-    if not is_agreed and not context.confirm(f"apply {len(changes)} changes?"):
-        raise DeclinedError("nothing was changed: not confirmed (give --yes)")
+    if not is_confirmed and not context.confirm(f"apply {len(changes)} changes?"):
+        raise DeclinedError("nothing was changed: not confirmed (use --yes)")
 
 
-def _send(
+def _send_changes(
     context: Context,
     changes: list[PlannedChange],
     tree: TreeAnswer,
@@ -77,7 +79,7 @@
     view_version = tree.view_version
     for change in changes:
         request = SettingsChangeRequest(
-            change_id=derived_change_id(context.settings.key, change, versions),
+            change_id=derive_change_id(context.settings.key, change, versions),
             path=change.path,
             expected_version=change.expected_version,
             overrides=change.overrides,
--- a/packages/ctl/src/dogwoodspool_ctl/change_ids.py
+++ b/packages/ctl/src/dogwoodspool_ctl/change_ids.py
@@ -1,4 +1,4 @@
-"""Change ids: the same change has the same id in each run of ``apply``."""
+"""Create change ids; a declared change has the same id in each run of ``apply``."""
 
 import hashlib
 import hmac
@@ -14,25 +14,26 @@
 
 
 def new_change_id() -> str:
-    """Return an id for a change that an operator makes by hand."""
+    """Return a random id for a single change that an operator requests."""
     return f"ctl-{uuid.uuid4().hex}"
 
 
-def derived_change_id(
+def derive_change_id(
     key: bytes, change: PlannedChange, versions: Mapping[str, int]
 ) -> str:
     """Return the id of a declared change.
 
-    A run that was cut off may have sent the change already. The next run derives
-    the same id, so that control gives the first answer instead of a conflict of
-    the operator with himself. The versions of the nodes that the answer depends
-    on are part of it: control remembers rejections too, and a change that was
-    invalid only because of its parent must be decided anew once that has changed.
+    An interrupted run may have sent the change already. The next run derives the
+    same id, so that control repeats its first answer instead of reporting a
+    conflict with the operator's own change. The versions of the nodes that the
+    answer depends on are part of the id: control remembers rejections too, and a
+    change that was invalid only because of its parent must be evaluated again once
+    the parent has changed.
 
     Args:
-        key: the shared key; the id shows nothing of the secrets in the content.
+        key: the shared key; with it the id reveals no secrets of the content.
         change: the change to send.
-        versions: the versions of all nodes as they are now.
+        versions: the current versions of all nodes.
     """
     related = sorted(
         (path, version)
@@ -53,5 +54,5 @@
     shared = min(len(one), len(other))
     if one[:shared] == other[:shared]:
         return True
-    # Names of groups are unique over all services.
+    # Names of groups are unique across all services.
     return len(one) == len(other) == GROUP_DEPTH and one[-1] == other[-1]
--- a/packages/ctl/src/dogwoodspool_ctl/cluster_commands.py
+++ b/packages/ctl/src/dogwoodspool_ctl/cluster_commands.py
@@ -10,7 +10,7 @@
 from .context import Arguments, Context
 from .errors import BadArgumentError, ControlUnreachableError, RejectedError
 from .models import ProxyStatus, StatusAnswer, VotersRequest
-from .render import Report, table
+from .render import Report, format_table
 
 
 def run_status(context: Context, _arguments: Arguments) -> Report:
@@ -18,8 +18,8 @@
     try:
         status = context.control.status()
     except ControlUnreachableError:
-        # A part of the system that is cut off from the leader still shows what
-        # its own voters know; without any voter this fails in its turn.
+        # A partition without the leader still shows the state that its own voters
+        # know; if no voter answers either, this raises the same error.
         status = context.control.status_of_any()
     leader = status.leader or "unknown"
     lines = [f"leader {leader}", f"version {status.view_version}", ""]
@@ -36,7 +36,7 @@
     proxies = [
         {
             **proxy.model_dump(mode="json"),
-            "is_current": proxy.has(status.view_version),
+            "is_current": proxy.has_reached(status.view_version),
         }
         for proxy in status.proxies
     ]
@@ -46,7 +46,7 @@
 
 
 def run_promote(context: Context, arguments: Arguments) -> Report:
-    """Ask for a planned change of a group's primary."""
+    """Request a switchover of a group's primary."""
     try:
         request = PromoteRequest(
             change_id=new_change_id(),
@@ -61,7 +61,7 @@
 
 
 def run_drain(context: Context, arguments: Arguments) -> Report:
-    """Ask one proxy to finish what is in flight and take no new callers."""
+    """Ask one proxy to finish requests in flight and to accept no new callers."""
     name = arguments["PROXY"]
     proxies = context.control.status().proxies
     proxy = next((proxy for proxy in proxies if proxy.proxy == name), None)
@@ -73,8 +73,8 @@
         raise RejectedError(f"{name}: {error.detail}", code=error.code) from error
     except PeerUnreachableError as error:
         raise ControlUnreachableError(
-            f"{name} gave no answer and may be draining; the same command again is "
-            f"harmless ({error})"
+            f"{name} did not answer and may be draining; the command can be repeated "
+            f"safely ({error})"
         ) from error
     return Report([f"{name} is draining"], answer)
 
@@ -122,7 +122,7 @@
         (group.name, group.term, group.primary, str(group.phase))
         for group in status.groups
     ]
-    return table(headers, rows)
+    return format_table(headers, rows)
 
 
 def _promotion_lines(status: StatusAnswer) -> list[str]:
@@ -133,7 +133,7 @@
         (row.group, row.term, row.reason, row.step, ", ".join(row.waiting_for))
         for row in status.promotions
     ]
-    return [*table(headers, rows), ""]
+    return [*format_table(headers, rows), ""]
 
 
 def _server_lines(status: StatusAnswer) -> list[str]:
@@ -142,7 +142,7 @@
         (row.server, row.group, row.failure_domain, row.address, row.is_leaving)
         for row in status.servers
     ]
-    return table(headers, rows)
+    return format_table(headers, rows)
 
 
 def _proxy_lines(proxies: list[ProxyStatus], view_version: int) -> list[str]:
@@ -158,7 +158,7 @@
         )
         for proxy in proxies
     ]
-    return table(headers, rows)
+    return format_table(headers, rows)
 
 
 def _behind(proxy: ProxyStatus, view_version: int) -> int | None:
--- a/packages/ctl/src/dogwoodspool_ctl/const.py
+++ b/packages/ctl/src/dogwoodspool_ctl/const.py
@@ -15,13 +15,14 @@
 STATUS_NOT_LEADER: Final = 421
 ATTR_IS_LEADER: Final = "is_leader"
 ATTR_LEADER: Final = "leader"
-STATUS_TOO_MANY: Final = 429
+STATUS_TOO_MANY_REQUESTS: Final = 429
 STATUS_CONFLICT: Final = 409
-FIRST_SERVER_FAULT: Final = 500
+FIRST_SERVER_ERROR: Final = 500
 
 CHANGE_ID_LENGTH: Final = 40
 
-# Values of these are taken as they are; a hash of digits alone is no number.
+# Values of these keys are taken as strings and not parsed as YAML: a hash that
+# consists of digits alone would become a number.
 TEXT_KEYS: Final = frozenset(
     {"token_key", "backend_user", "backend_password", "write_ack"}
 )
@@ -29,7 +30,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the program; docopt itself leaves with 1 for bad usage."""
+    """Exit codes of the program; docopt itself exits with 1 on bad usage."""
 
     DONE = 0
     BAD_USAGE = 1
--- a/packages/ctl/src/dogwoodspool_ctl/context.py
+++ b/packages/ctl/src/dogwoodspool_ctl/context.py
@@ -1,4 +1,4 @@
-"""What every command is given."""
+"""The context that every command receives."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """The program's parts, as ``main`` wires them.
+    """The dependencies of the commands, as ``main`` creates them.
 
     Attributes:
-        caller: for the endpoints of proxies.
-        environment: where declarations' secrets may come from.
-        show: writes one line at once; silent with ``--json``.
-        confirm: asks the operator; True to go on.
+        caller: HTTP client for the endpoints of proxies.
+        environment: environment variables from which declarations may read secrets.
+        show: writes one line immediately; does nothing with ``--json``.
+        confirm: asks the operator for confirmation; True means to continue.
     """
 
     control: Control
--- a/packages/ctl/src/dogwoodspool_ctl/control.py
+++ b/packages/ctl/src/dogwoodspool_ctl/control.py
@@ -1,4 +1,4 @@
-"""The operations of control that operators use, with typed answers."""
+"""Operations of the control processes that operators use, with typed answers."""
 
 from typing import Any, TypeVar
 
@@ -26,7 +26,7 @@
 
 
 class Control:
-    """Ask control for its state and send it changes; errors as the client's."""
+    """Read control's state and send it changes; errors as for ``ControlClient``."""
 
     def __init__(self, client: ControlClient) -> None:
         self._client = client
@@ -70,7 +70,7 @@
         return _parse(StatusAnswer, self._client.get(const.PATH_STATUS))
 
     def promote(self, request: PromoteRequest) -> dict[str, Any]:
-        """Ask for a planned change of primary."""
+        """Request a switchover of a group's primary."""
         return self._client.post(const.PATH_PROMOTE, request.model_dump(mode="json"))
 
     def voters(self) -> VotersAnswer:
@@ -84,7 +84,8 @@
     def change_voters(self, request: VotersRequest) -> dict[str, Any]:
         """Add or remove a voter."""
         body = request.model_dump(mode="json", exclude_none=True)
-        # A new voter counts only once it has caught up, and the answer waits for it.
+        # Control answers only after a new voter has caught up: until then it does not
+        # count as a voter.
         return self._client.post(const.PATH_VOTERS, body, VOTER_CHANGE_TIMEOUT)
 
 
@@ -95,5 +96,5 @@
         first = error.errors(include_url=False, include_input=False)[0]
         where = ".".join(str(part) for part in first["loc"])
         raise RejectedError(
-            f"control's answer is not understood: {where}: {first['msg']}"
+            f"invalid answer from control: {where}: {first['msg']}"
         ) from error
--- a/packages/ctl/src/dogwoodspool_ctl/control_client.py
+++ b/packages/ctl/src/dogwoodspool_ctl/control_client.py
@@ -1,4 +1,4 @@
-"""Calls to the control processes: find the leader, survive lost answers."""
+"""Call the control processes: find the leader, and retry after lost answers."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -15,17 +15,17 @@
 from .const import (
     ATTR_IS_LEADER,
     ATTR_LEADER,
-    FIRST_SERVER_FAULT,
+    FIRST_SERVER_ERROR,
     RETRY_DELAY,
     STATUS_CONFLICT,
     STATUS_NOT_LEADER,
-    STATUS_TOO_MANY,
+    STATUS_TOO_MANY_REQUESTS,
 )
 from .errors import ConflictError, ControlUnreachableError, RejectedError
 
 
 class JsonCaller(Protocol):
-    """What is needed of ``JsonClient``."""
+    """The methods of ``JsonClient`` that are used here."""
 
     def get(
         self, address: Address, path: str, query: dict[str, str] | None = None
@@ -45,11 +45,11 @@
 
 
 class ControlClient:
-    """Send each request to the leader, however long it takes to find it.
+    """Send each request to the leader, retrying until it is found or time is up.
 
     A request whose answer was lost is sent again with the same body, to whichever
-    control process leads then. That is safe because every message is idempotent:
-    a change carries its change id, and the same id gets the first answer.
+    control process is the leader by then. That is safe because every message is
+    idempotent: a change carries its change id, and the same id gets the first answer.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
     def _call(self, send: Callable[[Address], dict[str, Any]]) -> dict[str, Any]:
         deadline = self._clock.now() + self._timeout_s
         failures: dict[Address, str] = {}
-        tried = 0
+        attempts = 0
         while True:
             target = self._target
             try:
@@ -113,41 +113,44 @@
                 self._target = self._next_target(target, error)
                 failures[target] = str(error)
             if self._clock.now() >= deadline:
-                raise ControlUnreachableError(_describe(failures))
-            tried += 1
-            # Two processes that each take the other for the leader would else be
-            # asked without a pause.
-            if tried % len(self._addresses) == 0:
+                raise ControlUnreachableError(_describe_failures(failures))
+            attempts += 1
+            # Pause after each round: otherwise two processes that each name the other
+            # as the leader would be called in a busy loop.
+            if attempts % len(self._addresses) == 0:
                 self._clock.sleep(RETRY_DELAY)
 
     def _next_target(self, target: Address, error: HttpError) -> Address:
         if not isinstance(error, PeerRefusedError):
-            return self._after(target)
+            return self._address_after(target)
         if error.status == STATUS_NOT_LEADER:
-            return _leader(error.detail) or self._after(target)
-        if error.status >= FIRST_SERVER_FAULT or error.status == STATUS_TOO_MANY:
-            return self._after(target)
+            return _parse_leader(error.detail) or self._address_after(target)
+        if (
+            error.status >= FIRST_SERVER_ERROR
+            or error.status == STATUS_TOO_MANY_REQUESTS
+        ):
+            return self._address_after(target)
         if error.status == STATUS_CONFLICT:
             raise ConflictError(error.detail, code=error.code) from error
         raise RejectedError(error.detail or error.code, code=error.code) from error
 
-    def _after(self, target: Address) -> Address:
+    def _address_after(self, target: Address) -> Address:
         if target not in self._addresses:
             return self._addresses[0]
-        place = self._addresses.index(target) + 1
-        return self._addresses[place % len(self._addresses)]
+        index = self._addresses.index(target) + 1
+        return self._addresses[index % len(self._addresses)]
 
 
-def _leader(text: str) -> Address | None:
+def _parse_leader(text: str) -> Address | None:
     try:
         return Address.parse(text)
     except ValueError:
         return None
 
 
-def _describe(failures: dict[Address, str]) -> str:
+def _describe_failures(failures: dict[Address, str]) -> str:
     reasons = "; ".join(f"{address}: {text}" for address, text in failures.items())
     return (
         f"no control leader answered in time ({reasons}); a change that was sent may "
-        "have taken effect, and the same command again tells"
+        "have taken effect: repeat the same command to find out"
     )
--- a/packages/ctl/src/dogwoodspool_ctl/errors.py
+++ b/packages/ctl/src/dogwoodspool_ctl/errors.py
@@ -11,8 +11,8 @@
     """Base of the errors that end a command.
 
     Attributes:
-        exit_code: what the program exits with.
-        details: facts for the JSON output besides the message.
+        exit_code: exit code of the program.
+        details: further fields of the JSON output, besides the message.
     """
 
     exit_code: ClassVar[ExitCode] = ExitCode.REJECTED
@@ -23,7 +23,7 @@
 
 
 class BadArgumentError(CtlError):
-    """Report an argument or a secret's source that cannot be used."""
+    """Report an invalid argument or an unusable source of a secret."""
 
     exit_code = ExitCode.BAD_SETTINGS
 
@@ -31,14 +31,14 @@
 class ControlUnreachableError(CtlError):
     """Report that no control process answered in time.
 
-    A change may have been committed; the same command again finds out.
+    A change may have been committed; repeating the same command shows whether it was.
     """
 
     exit_code = ExitCode.CONTROL_UNREACHABLE
 
 
 class ConflictError(CtlError):
-    """Report that a node has another version than the change expected."""
+    """Report that a node's version differs from the one that the change expected."""
 
     exit_code = ExitCode.CONFLICT
 
@@ -50,7 +50,7 @@
 
 
 class NotInForceError(CtlError):
-    """Report that some instances have not taken over the change in time."""
+    """Report that some instances did not apply the change within the timeout."""
 
     exit_code = ExitCode.NOT_IN_FORCE
 
--- a/packages/ctl/src/dogwoodspool_ctl/explain.py
+++ b/packages/ctl/src/dogwoodspool_ctl/explain.py
@@ -1,4 +1,4 @@
-"""Sum up from process logs which requests were not served as they should, and why."""
+"""Summarize from process logs which requests failed or were late, and why."""
 
 import re
 from collections import Counter
@@ -9,14 +9,14 @@
 
 from .log_lines import LogLine
 
-# Events of requests, and what a row of them is named by.
+# Events of requests, with the log field that is shown beside the event.
 REQUEST_EVENTS: Final = {
     "request_not_served": "code",
     "request_late": "kind",
     "caller_refused": None,
     "no_database": None,
 }
-# Events that tell of the system's own state; each change has a row of its own.
+# Events that report a change of the system's state; they get rows of their own.
 STATE_EVENTS: Final = frozenset(
     {
         "became_leader",
@@ -30,9 +30,9 @@
         "control_started",
     }
 )
-# Names of servers, addresses and numbers: what differs between two requests that
-# failed for one reason.
-_VARYING: Final = re.compile(
+# Names of servers, addresses and numbers, which differ between requests that failed
+# for the same reason.
+_VARIABLE_PARTS: Final = re.compile(
     r"\b(?:\d+(?:\.\d+){3}(?::\d+)?|i-[0-9a-f]+|(?=[a-z]*\d)[a-z0-9]{6,})\b"
 )
 MASK: Final = "*"
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True)
 class Row:
-    """Requests of one span of time that ended alike, or one change of state.
+    """Requests of one time span with the same outcome, or a change of state.
 
     Attributes:
         begin: start of the span.
         what: the event with its code or kind.
-        reason: why, without the names in which the requests differ.
-        count: how many.
-        instances: processes that logged it, with their shares of the count.
-        example: one request's id, to look for in the logs.
+        reason: the reason, with the names that differ between requests masked.
+        count: number of events.
+        instances: number of events by the instance that logged them.
+        example: id of one of the requests, to look for in the logs.
     """
 
     begin: datetime
@@ -59,20 +59,20 @@
     example: str = "-"
 
 
-def sum_up(lines: Iterable[LogLine], seconds: float) -> list[Row]:
-    """Return the rows of some lines, in the order of time, the greatest first.
+def summarize(lines: Iterable[LogLine], seconds: float) -> list[Row]:
+    """Return the rows of log lines, by time span and then by descending count.
 
     Args:
-        lines: what the processes logged, in any order.
+        lines: log lines of any processes, in any order.
         seconds: length of one span.
     """
     rows: dict[tuple[datetime, str, str], Row] = {}
     for line in lines:
-        named = _name(line)
-        if named is None:
+        row_key = _classify(line)
+        if row_key is None:
             continue
-        begin = _span(line.time, seconds)
-        row = rows.setdefault((begin, *named), Row(begin, *named))
+        begin = _span_start(line.time, seconds)
+        row = rows.setdefault((begin, *row_key), Row(begin, *row_key))
         row.count += line.count
         row.instances[line.instance] += line.count
         if row.example == "-":
@@ -80,12 +80,12 @@
     return sorted(rows.values(), key=lambda row: (row.begin, -row.count, row.what))
 
 
-def _name(line: LogLine) -> tuple[str, str] | None:
-    """Return what a line is about and why; None for a line of no interest here."""
+def _classify(line: LogLine) -> tuple[str, str] | None:
+    """Return a line's event and reason for its row; None if it is not reported."""
     if line.event in REQUEST_EVENTS:
         key = REQUEST_EVENTS[line.event]
         kind = f" {line.fields.get(key, '-')}" if key else ""
-        reason = _VARYING.sub(MASK, line.fields.get("reason", "-"))
+        reason = _VARIABLE_PARTS.sub(MASK, line.fields.get("reason", "-"))
         return f"{line.event}{kind}", reason
     if line.event in STATE_EVENTS:
         phase = line.fields.get("phase") or line.fields.get("group") or ""
@@ -93,6 +93,6 @@
     return None
 
 
-def _span(time: datetime, seconds: float) -> datetime:
+def _span_start(time: datetime, seconds: float) -> datetime:
     begin = time.timestamp() // seconds * seconds
     return datetime.fromtimestamp(begin, tz=time.tzinfo)
--- a/packages/ctl/src/dogwoodspool_ctl/explain_main.py
+++ b/packages/ctl/src/dogwoodspool_ctl/explain_main.py
@@ -10,8 +10,8 @@
 from docopt import docopt
 from dogwoodspool_common import SettingsError, run_program
 
-from .explain import Row, sum_up
-from .log_lines import LogLine, read_lines
+from .explain import Row, summarize
+from .log_lines import LogLine, parse_lines
 
 USAGE: Final = """Sum up from process logs which requests failed or were late, and why.
 
@@ -31,22 +31,22 @@
 addresses and numbers in reasons are left out (*), so that alike reasons add up; EXAMPLE
 is a request's id to look for in the logs.
 """
-WIDEST: Final = 3
+MAX_INSTANCES_SHOWN: Final = 3
 
 
 def main() -> int:
-    """Write the table of the files that are named."""
+    """Write the table for the log files given as arguments."""
     arguments = docopt(USAGE)
-    begin = _time(arguments["--from"])
-    end = _time(arguments["--until"])
+    begin = _parse_time(arguments["--from"])
+    end = _parse_time(arguments["--until"])
     prefix = arguments["--instance"] or ""
     lines = (
         line
-        for line in read_lines(_texts(arguments["FILE"]))
+        for line in parse_lines(_read_files(arguments["FILE"]))
         if line.instance.startswith(prefix) and _is_between(line, begin, end)
     )
-    rows = sum_up(lines, _number(arguments, "--seconds"))
-    write_table(rows, _number(arguments, "--least"), sys.stdout)
+    rows = summarize(lines, _parse_positive_number(arguments, "--seconds"))
+    write_table(rows, _parse_positive_number(arguments, "--least"), sys.stdout)
     return 0
 
 
@@ -55,28 +55,30 @@
     run_program(main)
 
 
-def write_table(rows: Iterable[Row], least: float, output: TextIO) -> None:
-    """Write rows as text, the time of each span once."""
+def write_table(rows: Iterable[Row], min_count: float, output: TextIO) -> None:
+    """Write rows as text, with the time of a span only on its first row."""
     shown = None
     for row in rows:
-        if row.count < least and not row.what.startswith("["):
+        if row.count < min_count and not row.what.startswith("["):
             continue
         time = row.begin.strftime("%H:%M:%S.%f")[:-3]
         column = time if time != shown else " " * len(time)
         shown = time
         output.write(
             f"{column} {row.count:>6}  {row.what:<28} {row.reason:<46} "
-            f"{_shares(row.instances)}  {row.example}\n"
+            f"{_format_instances(row.instances)}  {row.example}\n"
         )
 
 
-def _shares(instances: Counter[str]) -> str:
-    named = [f"{name}:{count}" for name, count in instances.most_common(WIDEST)]
-    rest = len(instances) - WIDEST
+def _format_instances(instances: Counter[str]) -> str:
+    named = [
+        f"{name}:{count}" for name, count in instances.most_common(MAX_INSTANCES_SHOWN)
+    ]
+    rest = len(instances) - MAX_INSTANCES_SHOWN
     return " ".join(named) + (f" and {rest} more" if rest > 0 else "")
 
 
-def _texts(names: list[str]) -> Iterator[str]:
+def _read_files(names: list[str]) -> Iterator[str]:
     if not names:
         yield from sys.stdin
     for name in names:
@@ -93,22 +95,26 @@
     return end is None or line.time <= end
 
 
-def _time(text: str | None) -> datetime | None:
+def _parse_time(text: str | None) -> datetime | None:
     if text is None:
         return None
     try:
         time = datetime.fromisoformat(text)
     except ValueError as error:
-        raise SettingsError(f"{text} is no time such as 2026-10-14T10:54:26") from error
-    # Logs carry the offset; a time without one is meant as they are, in UTC.
+        raise SettingsError(
+            f"{text}: not an ISO 8601 time such as 2026-10-14T10:54:26"
+        ) from error
+    # Log times have an offset; an argument without one is taken as UTC, as in logs.
     return time if time.tzinfo else datetime.fromisoformat(f"{text}+00:00")
 
 
-def _number(arguments: dict[str, str], option: str) -> float:
+def _parse_positive_number(arguments: dict[str, str], option: str) -> float:
     try:
         number = float(arguments[option])
     except ValueError:
         number = 0.0
     if number <= 0:
-        raise SettingsError(f"{option} takes a number above 0")
+        raise SettingsError(
+            f"{option} must be a number above 0, got {arguments[option]!r}"
+        )
     return number
--- a/packages/ctl/src/dogwoodspool_ctl/log_lines.py
+++ b/packages/ctl/src/dogwoodspool_ctl/log_lines.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 from typing import Final, Self
 
-# A line may carry what a collector has put before it, such as a host name.
+# A log collector may have put a prefix before the line, such as a host name.
 _FIRST_KEY: Final = re.compile(r"(?:^|\s)time=")
 _PAIR: Final = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 _ESCAPED: Final = re.compile(r"\\(.)")
@@ -19,11 +19,11 @@
 
     Attributes:
         time: when it was logged.
-        event: what happened.
-        instance: the process's instance.
-        count: the events that it stands for: lines that many requests cause are
-            limited, and the next one says how many were left out.
-        fields: all of its pairs.
+        event: name of the event.
+        instance: instance name of the process.
+        count: number of events that it represents: lines that many requests cause
+            are rate limited, and the next one says how many were left out.
+        fields: all key=value pairs of the line.
     """
 
     time: datetime
@@ -34,11 +34,11 @@
 
     @classmethod
     def parse(cls, text: str) -> Self | None:
-        """Return what a line says; None where it is no line of the system."""
+        """Parse a line; return None if it is not a log line of the system."""
         begin = _FIRST_KEY.search(text)
         if begin is None:
             return None
-        fields = {key: _value(raw) for key, raw in _PAIR.findall(text, begin.start())}
+        fields = {key: _unquote(raw) for key, raw in _PAIR.findall(text, begin.start())}
         if "event" not in fields:
             return None
         try:
@@ -49,15 +49,15 @@
         return cls(time, fields["event"], fields.get("instance", "-"), count, fields)
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines that are the system's."""
+def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+    """Yield the log lines of the system, parsed; skip all other lines."""
     for text in texts:
         line = LogLine.parse(text)
         if line is not None:
             yield line
 
 
-def _value(raw: str) -> str:
+def _unquote(raw: str) -> str:
     if not raw.startswith('"'):
         return raw
     return _ESCAPED.sub(lambda found: _UNESCAPED.get(found[1], found[1]), raw[1:-1])
--- a/packages/ctl/src/dogwoodspool_ctl/main.py
+++ b/packages/ctl/src/dogwoodspool_ctl/main.py
@@ -142,7 +142,7 @@
 
 
 def ask_operator(question: str) -> bool:
-    """Ask on the terminal; without one the answer is no."""
+    """Ask on the terminal; without a terminal the answer is no."""
     if not sys.stdin.isatty():
         return False
     return input(f"{question} [y/N] ").strip().lower() == "y"
--- a/packages/ctl/src/dogwoodspool_ctl/models.py
+++ b/packages/ctl/src/dogwoodspool_ctl/models.py
@@ -10,16 +10,18 @@
 from .const import DEFAULT_AUTHOR, DEFAULT_TIMEOUT_S
 
 
-def _split(value: Any) -> Any:
+def _split_list(value: Any) -> Any:
     if not isinstance(value, str):
         return value
     return [part.strip() for part in value.split(",") if part.strip()]
 
 
 class CtlSettings(BaseModel):
-    """Where control answers and who asks."""
+    """Addresses of the control processes, the shared key and the author of changes."""
 
-    control: Annotated[list[HostPort], BeforeValidator(_split), Field(min_length=1)]
+    control: Annotated[
+        list[HostPort], BeforeValidator(_split_list), Field(min_length=1)
+    ]
     shared_key: Annotated[SecretStr, Field(min_length=1)]
     author: Annotated[str, Field(min_length=1, max_length=MAX_NAME_LENGTH)] = (
         DEFAULT_AUTHOR
@@ -38,7 +40,7 @@
 
 
 class Answer(BaseModel):
-    """Base of control's answers; what a newer control adds is left out."""
+    """Base of control's answers; fields that a newer control adds are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -85,8 +87,7 @@
     """One proxy instance as the leader knows it.
 
     Attributes:
-        view_version: version in force; None before the first renewal that the
-            leader has seen.
+        view_version: version in force; None until the leader has seen a renewal.
     """
 
     proxy: str
@@ -95,7 +96,7 @@
     view_version: int | None
     seconds_since_renewal: float | None
 
-    def has(self, view_version: int) -> bool:
+    def has_reached(self, view_version: int) -> bool:
         """Tell whether the instance reported at least this version in force."""
         return self.view_version is not None and self.view_version >= view_version
 
@@ -111,7 +112,7 @@
 
 
 class PromotionRow(Answer):
-    """One change of primary that is under way."""
+    """One change of primary that is in progress."""
 
     group: str
     term: int
@@ -124,7 +125,7 @@
     """The state of the whole system as one voter knows it.
 
     Attributes:
-        is_leader: whether that voter leads; only the leader knows renewals.
+        is_leader: whether that voter is the leader; only the leader knows renewals.
     """
 
     leader: str | None
@@ -144,7 +145,7 @@
 
 
 class VotersRequest(BaseModel):
-    """A change of the voters: one is added at an address, without one removed."""
+    """A change of the voters: with an address a voter is added, without one removed."""
 
     voter: str
     address: str | None = None
--- a/packages/ctl/src/dogwoodspool_ctl/render.py
+++ b/packages/ctl/src/dogwoodspool_ctl/render.py
@@ -1,4 +1,4 @@
-"""Turn what a command found into lines of text."""
+"""Format the results of commands as text and JSON."""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
@@ -18,26 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """The outcome of a command: lines for people, data for ``--json``."""
+    """The result of a command: lines of text, and data for ``--json``."""
 
     lines: list[str]
     data: dict[str, Any]
 
 
-def table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
+def format_table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
     """Return aligned columns under their headers."""
-    cells = [list(headers), *([_cell(value) for value in row] for row in rows)]
+    cells = [list(headers), *([_format_cell(value) for value in row] for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
-    return [_aligned(row, widths) for row in cells]
+    return [_align_row(row, widths) for row in cells]
 
 
 def change_lines(change: PlannedChange, fingerprint_key: bytes) -> list[str]:
-    """Return one planned change with its keys before and after, redacted."""
+    """Return one planned change as lines of old and new values, redacted."""
     before = flatten(change.current)
     after = flatten(redact(change.overrides or {}, fingerprint_key))
     lines = [f"{ACTION_SIGNS[change.action]} {change.path}"]
     for key in sorted(before.keys() | after.keys()):
-        old, new = _side(before, key), _side(after, key)
+        old, new = _format_override(before, key), _format_override(after, key)
         if old != new:
             lines.append(f"    {key}: {old} -> {new}")
     return lines
@@ -66,11 +66,11 @@
     return flat
 
 
-def _side(values: Mapping[str, Any], key: str) -> str:
+def _format_override(values: Mapping[str, Any], key: str) -> str:
     return json.dumps(values[key]) if key in values else "(inherited)"
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return NO_VALUE
     if isinstance(value, str):
@@ -78,6 +78,6 @@
     return json.dumps(value)
 
 
-def _aligned(row: Sequence[str], widths: Sequence[int]) -> str:
+def _align_row(row: Sequence[str], widths: Sequence[int]) -> str:
     padded = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
     return COLUMN_GAP.join(padded).rstrip()
--- a/packages/ctl/src/dogwoodspool_ctl/rollout.py
+++ b/packages/ctl/src/dogwoodspool_ctl/rollout.py
@@ -1,4 +1,4 @@
-"""Which version of the committed state is in force at each instance."""
+"""Wait until a version of the committed state is in force at every proxy."""
 
 from dogwoodspool_common import Clock
 
@@ -14,13 +14,13 @@
     """Wait until every registered proxy has a version in force; return their count.
 
     Raises:
-        NotInForceError: names the instances that are behind when time runs out.
-            The change stays accepted, and they take it over once they can.
+        NotInForceError: names the proxies that are behind at the timeout. The change
+            stays accepted, and they apply it as soon as they can.
     """
     deadline = clock.now() + timeout_s
     while True:
         proxies = control.status().proxies
-        behind = [proxy for proxy in proxies if not proxy.has(view_version)]
+        behind = [proxy for proxy in proxies if not proxy.has_reached(view_version)]
         if not behind:
             return len(proxies)
         if clock.now() >= deadline:
--- a/packages/ctl/src/dogwoodspool_ctl/secrets.py
+++ b/packages/ctl/src/dogwoodspool_ctl/secrets.py
@@ -16,10 +16,10 @@
         self._folder = folder
         self._environment = environment
 
-    def fill(
+    def resolve(
         self, overrides: Mapping[str, Any], sources: Mapping[str, SecretSource]
     ) -> dict[str, Any]:
-        """Return overrides with their secrets.
+        """Return overrides with their secrets inserted.
 
         Raises:
             BadArgumentError: names the secret and its source, never its value.
@@ -31,7 +31,9 @@
         if source.kind is SourceKind.ENV:
             value = self._environment.get(source.name, "")
             if not value:
-                raise BadArgumentError(f"{name}: the variable {source.name} is not set")
+                raise BadArgumentError(
+                    f"{name}: environment variable {source.name} is unset or empty"
+                )
             return value
         try:
             text = (self._folder / source.name).read_text(encoding="utf-8")
--- a/tests/ctl/fake_control.py
+++ b/tests/ctl/fake_control.py
@@ -1,4 +1,4 @@
-"""A small control over one settings tree, whose answers can be lost."""
+"""A fake control process with one settings tree, whose answers can be lost."""
 
 from collections.abc import Callable
 from dataclasses import asdict
@@ -26,8 +26,10 @@
 ANY_PORT = Address("127.0.0.1", 0)
 
 
-def serve(routes: dict[tuple[str, str], Callable[[JsonRequest], JsonResponse]]) -> Any:
-    """Start a server of some routes on a free port."""
+def start_server(
+    routes: dict[tuple[str, str], Callable[[JsonRequest], JsonResponse]],
+) -> Any:
+    """Start a server with these routes on a free port."""
     listed = [Route(method, path, run) for (method, path), run in routes.items()]
     server = JsonServer(ANY_PORT, RequestSigner(SHARED_KEY.encode()), listed, threads=2)
     server.set_up()
@@ -35,13 +37,13 @@
 
 
 class FakeControl:
-    """The leader: what it commits is in ``tree``.
+    """A fake leader; committed changes are in ``tree``.
 
     Attributes:
-        lost_answers: answers to changes that the next calls lose after the change
-            was committed.
-        shown_nodes: an older state that the tree endpoint still shows.
-        before_change: called once before the next change is decided.
+        lost_answers: number of further changes whose answers are lost after the
+            change was committed.
+        stale_nodes: an older state that the tree endpoint returns if set.
+        before_change: called once before the next change is evaluated.
         posted: bodies of the other messages, by path.
     """
 
@@ -49,9 +51,9 @@
         self.tree = SettingsTree()
         self.index = 0
         self.lost_answers = 0
-        self.loses_first_answers = False
+        self.loses_first_answer_of_each_change = False
         self.answered: set[str] = set()
-        self.shown_nodes: list[SettingsNode] | None = None
+        self.stale_nodes: list[SettingsNode] | None = None
         self.before_change: Callable[[], Any] | None = None
         self.proxies: list[dict[str, Any]] = []
         self.posted: dict[str, list[Any]] = {}
@@ -67,7 +69,7 @@
             ("POST", const.PATH_DRAIN): self._record,
             ("POST", const.PATH_FORGET_PROXY): self._record,
         }
-        self.server = serve(routes)
+        self.server = start_server(routes)
 
     def apply(self, path: str, version: int, overrides: dict[str, Any] | None) -> None:
         """Commit a change of another operator."""
@@ -86,9 +88,9 @@
         answer = self.tree.apply(SettingsChange(**message.model_dump()), self.index)
         is_first = message.change_id not in self.answered
         self.answered.add(message.change_id)
-        if self.lost_answers or (self.loses_first_answers and is_first):
+        if self.lost_answers or (self.loses_first_answer_of_each_change and is_first):
             self.lost_answers = max(0, self.lost_answers - 1)
-            # The connection broke in the middle of the answer.
+            # The connection broke off in the middle of the answer.
             return JsonResponse(text='{"path": "/ch')
         if answer.is_ok():
             accepted = asdict(answer.ok)
@@ -100,7 +102,7 @@
         return error_response(status, rejected.code, rejected.message)
 
     def _tree(self, _request: JsonRequest) -> JsonResponse:
-        nodes = self.tree.nodes() if self.shown_nodes is None else self.shown_nodes
+        nodes = self.tree.nodes() if self.stale_nodes is None else self.stale_nodes
         shown = [
             {
                 **node.model_dump(),
@@ -149,7 +151,7 @@
 
 
 class FakeFollower:
-    """A control process that does not lead and perhaps knows who does."""
+    """A fake control process that is not the leader and may know its address."""
 
     def __init__(self, leader: str) -> None:
         def refuse(_request: JsonRequest) -> JsonResponse:
@@ -168,7 +170,7 @@
                 }
             )
 
-        self.server = serve(
+        self.server = start_server(
             {
                 ("GET", const.PATH_SETTINGS_TREE): refuse,
                 ("GET", const.PATH_STATUS): show,
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -26,7 +26,7 @@
 PATHS = ["/", "/chat", "/chat/g1", "/chat/g1/a"]
 
 
-class CtlCase(unittest.TestCase):
+class CtlTestCase(unittest.TestCase):
     """Run commands against a fake leader."""
 
     def setUp(self) -> None:
@@ -50,7 +50,7 @@
         file.parent.mkdir(parents=True, exist_ok=True)
         file.write_text(text)
 
-    def ctl(self, *arguments: str, timeout_s: float = 5) -> tuple[int, str]:
+    def run_ctl(self, *arguments: str, timeout_s: float = 5) -> tuple[int, str]:
         """Run one command and return exit code and all output."""
         environment = {
             "DOGWOODSPOOL_CONTROL": self.addresses,
@@ -67,93 +67,94 @@
             )
         return code, output.getvalue()
 
-    def done(self, *arguments: str) -> str:
-        code, text = self.ctl(*arguments)
+    def run_ok(self, *arguments: str) -> str:
+        code, text = self.run_ctl(*arguments)
         self.assertEqual(code, ExitCode.DONE, text)
         return text
 
     def apply(self) -> str:
-        return self.done("apply", str(self.folder), "--yes")
+        return self.run_ok("apply", str(self.folder), "--yes")
 
     def changed_paths(self) -> list[str]:
         return [entry.path for entry in reversed(self.control.tree.history(100))]
 
 
-class ApplyTests(CtlCase):
-    """Declarations take effect once, however often answers are lost."""
+class ApplyTests(CtlTestCase):
+    """Declarations take effect exactly once, even when answers are lost."""
 
-    def test_every_answer_is_lost_once(self) -> None:
-        """An operator sees a conflict, though nobody else changed anything.
+    def test_apply_succeeds_when_every_first_answer_is_lost(self) -> None:
+        """Guard against a conflict of a change with its own first copy.
 
         Control commits a change, its answer is lost, and the change is sent again
-        with the version that its own first copy has just replaced.
+        with an expected version that the first copy has already replaced.
         """
-        self.control.loses_first_answers = True
+        self.control.loses_first_answer_of_each_change = True
         self.apply()
         self.assertEqual(self.changed_paths(), PATHS)
         self.assertIn("nothing to change", self.apply())
         self.assertEqual(self.changed_paths(), PATHS)
 
-    def test_interrupted_run_goes_on(self) -> None:
-        """A second run ends in a conflict with the first one's last change.
+    def test_interrupted_run_can_be_repeated(self) -> None:
+        """Guard against a conflict of a second run with the first one's last change.
 
-        The first run gave up while its change was on its way. The second run read
+        The first run timed out while its change was in flight. The second run read
         the tree before that change was committed, and sent its own after it.
         """
         before = self.control.tree.nodes()
         self.control.lost_answers = 1_000
-        code, text = self.ctl("apply", str(self.folder), "--yes", timeout_s=0.1)
+        code, text = self.run_ctl("apply", str(self.folder), "--yes", timeout_s=0.1)
         self.assertEqual(code, ExitCode.CONTROL_UNREACHABLE, text)
         self.assertEqual(self.changed_paths(), ["/"])
         self.control.lost_answers = 0
-        self.control.shown_nodes = before
+        self.control.stale_nodes = before
         self.apply()
         self.assertEqual(self.changed_paths(), PATHS)
 
-    def test_invalid_change_is_decided_anew_once_its_parent_is_corrected(self) -> None:
-        """The same declarations stay rejected after the cause was removed.
+    def test_rejected_change_is_evaluated_again_after_its_parent_changed(self) -> None:
+        """Guard against declarations that stay rejected after the cause was removed.
 
-        Control remembers rejections by change id, and ``apply`` derives its ids.
+        Control remembers rejections by change id, and ``apply`` derives the same id
+        for the same change.
         """
         self.control.apply("/", 0, {"deadline_ms": 40, "replica_wait_ms": 5})
         self.write("root.yaml", "deadline_ms: 40\nreplica_wait_ms: 5\n")
         self.write("chat/service.yaml", "")
-        code, text = self.ctl("apply", str(self.folder), "--yes")
+        code, text = self.run_ctl("apply", str(self.folder), "--yes")
         self.assertEqual(code, ExitCode.REJECTED)
         self.assertIn("/chat/g1/a: replica_wait_ms must be below", text)
-        self.done("set", "/chat", "deadline_ms=800")
+        self.run_ok("set", "/chat", "deadline_ms=800")
         self.write("chat/service.yaml", "deadline_ms: 800")
         self.apply()
         self.assertEqual(self.changed_paths()[-1], "/chat/g1/a")
 
-    def test_plan_changes_nothing_and_apply_asks(self) -> None:
-        text = self.done("plan", str(self.folder))
+    def test_plan_changes_nothing_and_apply_asks_for_confirmation(self) -> None:
+        text = self.run_ok("plan", str(self.folder))
         self.assertIn("+ /chat\n    deadline_ms: (inherited) -> 800", text)
-        code, _ = self.ctl("apply", str(self.folder))
+        code, _ = self.run_ctl("apply", str(self.folder))
         self.assertEqual(code, ExitCode.DECLINED)
         self.assertEqual(self.changed_paths(), [])
         self.is_confirmed = True
-        self.done("apply", str(self.folder))
+        self.run_ok("apply", str(self.folder))
         self.assertEqual(self.changed_paths(), PATHS)
 
-    def test_bad_declaration_or_secret_is_told(self) -> None:
+    def test_bad_declaration_or_secret_is_reported(self) -> None:
         (self.secret / "word").unlink()
-        code, text = self.ctl("plan", str(self.folder))
+        code, text = self.run_ctl("plan", str(self.folder))
         self.assertEqual(code, ExitCode.BAD_SETTINGS)
         self.assertIn("backend_password: file ../secret/word: No such file", text)
         self.write("chat/service.yaml", "deadline: 5")
-        code, text = self.ctl("plan", str(self.folder))
+        code, text = self.run_ctl("plan", str(self.folder))
         self.assertEqual(code, ExitCode.BAD_SETTINGS)
         self.assertIn("chat/service.yaml: deadline: there is no such setting", text)
 
 
-class ChangeTests(CtlCase):
-    """Single changes keep what they do not name."""
+class ChangeTests(CtlTestCase):
+    """Single changes keep the overrides that they do not name."""
 
     def test_conflict_names_the_current_version(self) -> None:
         self.apply()
         self.control.before_change = lambda: self.control.apply("/chat", 1, {})
-        code, text = self.ctl("--json", "set", "/chat", "deadline_ms=700")
+        code, text = self.run_ctl("--json", "set", "/chat", "deadline_ms=700")
         self.assertEqual(code, ExitCode.CONFLICT)
         answer = json.loads(text)
         self.assertEqual((answer["path"], answer["expected_version"]), ("/chat", 1))
@@ -162,38 +163,38 @@
 
     def test_set_keeps_secrets_and_rollback_restores_them(self) -> None:
         self.apply()
-        self.done("set", "/", "deadline_ms=900", "users.flow={env: HASH}")
+        self.run_ok("set", "/", "deadline_ms=900", "users.flow={env: HASH}")
         values = self.control.tree.effective(None, None)
         self.assertEqual((values.token_key, values.deadline_ms), (TOKEN_KEY, 900))
         self.assertEqual(values.users, {"shop": HASH, "flow": HASH})
-        self.done("set", "/", "backend_password=1234", "deadline_ms=", "users.shop=")
+        self.run_ok("set", "/", "backend_password=1234", "deadline_ms=", "users.shop=")
         values = self.control.tree.effective(None, None)
         self.assertEqual((values.backend_password, values.deadline_ms), ("1234", 2_000))
         self.assertEqual(values.users, {"flow": HASH})
-        self.done("rollback", "/", "1")
+        self.run_ok("rollback", "/", "1")
         values = self.control.tree.effective(None, None)
         self.assertEqual(values.backend_password, PASSWORD)
         self.assertEqual(values.users, {"shop": HASH})
         self.assertIn("nothing to change", self.apply())
 
     def test_rollback_to_an_unknown_version_is_refused(self) -> None:
-        code, text = self.ctl("rollback", "/", "7")
+        code, text = self.run_ctl("rollback", "/", "7")
         self.assertEqual(code, ExitCode.REJECTED)
         self.assertIn("version 7 is not in the history", text)
 
     def test_no_secret_is_written(self) -> None:
-        shown = [self.done("plan", str(self.folder)), self.apply()]
+        shown = [self.run_ok("plan", str(self.folder)), self.apply()]
         self.write("root.yaml", "backend_password: {env: HASH}")
-        shown.append(self.done("plan", str(self.folder)))
+        shown.append(self.run_ok("plan", str(self.folder)))
         for command in (["get", "/"], ["get", "/chat", "--explain"], ["history"]):
-            shown += [self.done(*command), self.done("--json", *command)]
+            shown += [self.run_ok(*command), self.run_ok("--json", *command)]
         for secret in (TOKEN_KEY, PASSWORD, HASH, SHARED_KEY):
             self.assertNotIn(secret, "".join(shown))
         self.assertRegex(shown[2], r'backend_password: "\*\*\*:\w+" -> "\*\*\*:\w+"')
 
 
-class RolloutTests(CtlCase):
-    """An operator learns whether a change is in force everywhere."""
+class RolloutTests(CtlTestCase):
+    """Operators see whether a change is in force at every proxy."""
 
     def proxy(self, view_version: int) -> dict[str, Any]:
         return {
@@ -204,28 +205,28 @@
             "seconds_since_renewal": 0.1,
         }
 
-    def test_wait_ends_once_all_have_it(self) -> None:
+    def test_wait_ends_once_all_proxies_have_the_version(self) -> None:
         self.control.proxies = [self.proxy(4)]
-        text = self.done("apply", str(self.folder), "--yes", "--wait")
+        text = self.run_ok("apply", str(self.folder), "--yes", "--wait")
         self.assertIn("in force at all 1 proxies", text)
 
-    def test_wait_names_those_behind(self) -> None:
+    def test_wait_names_the_proxies_behind(self) -> None:
         self.control.proxies = [self.proxy(3)]
-        code, text = self.ctl(
+        code, text = self.run_ctl(
             "apply", str(self.folder), "--yes", "--wait", timeout_s=0.1
         )
         self.assertEqual(code, ExitCode.NOT_IN_FORCE)
         self.assertIn("not yet in force at entry-1 (version 3)", text)
-        (shown,) = json.loads(self.done("--json", "rollout"))["proxies"]
+        (shown,) = json.loads(self.run_ok("--json", "rollout"))["proxies"]
         self.assertEqual((shown["view_version"], shown["is_current"]), (3, False))
 
-    def test_messages_reach_their_receivers(self) -> None:
+    def test_commands_post_the_expected_messages(self) -> None:
         self.control.proxies = [self.proxy(0)]
-        self.done("drain", "entry-1")
-        self.done("forget", "entry-1")
-        self.done("promote", "g1", "--to", "s2")
-        self.done("voters", "add", "v2", "127.0.0.1:7002")
-        self.done("voters", "remove", "v1")
+        self.run_ok("drain", "entry-1")
+        self.run_ok("forget", "entry-1")
+        self.run_ok("promote", "g1", "--to", "s2")
+        self.run_ok("voters", "add", "v2", "127.0.0.1:7002")
+        self.run_ok("voters", "remove", "v1")
         posted = self.control.posted
         self.assertEqual(posted[const.PATH_DRAIN], [{}])
         self.assertEqual(posted[const.PATH_FORGET_PROXY], [{"proxy": "entry-1"}])
@@ -238,36 +239,36 @@
                 {"voter": "v1"},
             ],
         )
-        self.assertIn("id=v1", self.done("voters", "list"))
-        status = self.done("status")
+        self.assertIn("id=v1", self.run_ok("voters", "list"))
+        status = self.run_ok("status")
         self.assertIn("entry-1", status)
         self.assertRegex(status, "g1 +3 +planned +begun +entry-2")
 
 
-class LeaderTests(CtlCase):
-    """The leader is found through whichever control process answers."""
+class LeaderTests(CtlTestCase):
+    """The leader is found through any control process that answers."""
 
     def follower(self, leader: str) -> str:
         follower = FakeFollower(leader)
         self.addCleanup(follower.server.unload)
         return str(follower.server.address)
 
-    def test_followers_lead_to_the_leader(self) -> None:
+    def test_leader_is_found_through_a_follower(self) -> None:
         leader = self.addresses
         self.addresses = self.follower(leader)
-        self.assertIn("/ version 0", self.done("get", "/"))
-        self.assertIn("version 0", self.done("rollout"))
+        self.assertIn("/ version 0", self.run_ok("get", "/"))
+        self.assertIn("version 0", self.run_ok("rollout"))
         self.addresses = f"{self.follower('')},{leader}"
-        self.assertIn("/ version 0", self.done("get", "/"))
+        self.assertIn("/ version 0", self.run_ok("get", "/"))
 
-    def test_no_leader_is_told(self) -> None:
+    def test_missing_leader_is_reported(self) -> None:
         self.addresses = f"127.0.0.1:1,{self.follower('')}"
-        code, text = self.ctl("get", "/", timeout_s=0.1)
+        code, text = self.run_ctl("get", "/", timeout_s=0.1)
         self.assertEqual(code, ExitCode.CONTROL_UNREACHABLE)
         self.assertIn("no control leader answered", text)
 
-    def test_status_without_a_leader_shows_what_a_voter_knows(self) -> None:
+    def test_status_without_a_leader_shows_the_state_of_a_voter(self) -> None:
         self.addresses = self.follower("")
-        code, text = self.ctl("status", timeout_s=0.1)
+        code, text = self.run_ctl("status", timeout_s=0.1)
         self.assertEqual(code, ExitCode.DONE)
         self.assertIn("leader unknown\nversion 7", text)
