--- a/packages/emulator/src/dogwoodspool_emulator/__init__.py
+++ b/packages/emulator/src/dogwoodspool_emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Replay a load on hundreds of proxies in simulated time."""
+"""Simulate a load on hundreds of proxies in simulated time."""
 
 from .emulation import Emulation
 from .errors import ScenarioError
--- a/packages/emulator/src/dogwoodspool_emulator/const.py
+++ b/packages/emulator/src/dogwoodspool_emulator/const.py
@@ -2,13 +2,16 @@
 
 from typing import Final
 
-# Proxies in an emulation have served for a while, so that starts play no part.
-UP_FOR_SECONDS: Final = 10.0
-# Time between two looks for idle connections in all pools.
-EXPIRY_LOOK_SECONDS: Final = 0.15
-# Span of time of one row of the results over time.
+# Uptime of the proxies when an emulation begins: long enough that the lower
+# connection ceiling after a start is over.
+PROXY_UPTIME_SECONDS: Final = 10.0
+# Time between two checks for idle connections in all pools.
+POOL_CHECK_SECONDS: Final = 0.15
+# Length of one time window of the results.
 WINDOW_SECONDS: Final = 1.0
-# Time that a position refused by a server costs, without a slot's work.
+# Time that a server takes to refuse a statement: without a slot if its queue is full,
+# in a slot but without work if its data is behind the required position. It is also the
+# minimum time that a statement takes in a slot.
 REFUSAL_SECONDS: Final = 0.0005
-# Plots, in inches.
+# Width and height of plots, in inches.
 PLOT_SIZE: Final = (9.0, 6.0)
--- a/packages/emulator/src/dogwoodspool_emulator/emulation.py
+++ b/packages/emulator/src/dogwoodspool_emulator/emulation.py
@@ -1,4 +1,4 @@
-"""Play one scenario with one policy, number of proxies and seed."""
+"""Simulate one scenario with one policy, number of proxies and seed."""
 
 import math
 import random
@@ -12,8 +12,8 @@
 from dogwoodspool_sharing import Neighbour, ServerLimits
 from expression import Result
 
-from .const import EXPIRY_LOOK_SECONDS
-from .models import Requests, Scenario, Trouble, TroubleKind, Variant
+from .const import POOL_CHECK_SECONDS
+from .models import Disturbance, DisturbanceKind, Requests, Scenario, Variant
 from .outcomes import Outcomes
 from .proxies import Attempt, Proxy, Refused
 from .servers import GroupLog, Server
@@ -23,7 +23,7 @@
 
 
 class Emulation:
-    """Callers, proxies and servers of one scenario.
+    """Simulate the callers, proxies and servers of one scenario.
 
     Example:
         >>> Emulation(scenario, variant, proxies=72, seed=1).run().served_share
@@ -39,25 +39,30 @@
         self._timeline = Timeline()
         self._outcomes = Outcomes()
         self._groups = [f"g{number}" for number in range(scenario.groups)]
-        self._servers = [one for group in self._groups for one in self._build(group)]
+        self._servers = [
+            one for group in self._groups for one in self._build_servers(group)
+        ]
         self._proxies = [self._build_proxy(number) for number in range(proxies)]
-        self._by_name = {one.neighbour.name: one for one in self._proxies}
-        self._lost: set[str] = set()
+        self._proxies_by_name = {one.neighbour.name: one for one in self._proxies}
+        self._lost_proxies: set[str] = set()
         self._rate = scenario.per_second
-        self._meet()
+        self._register_neighbours()
 
     def run(self, progress: Progress | None = None) -> Outcomes:
-        """Play the whole scenario and return what became of the requests.
+        """Simulate the whole scenario and return the outcomes of its requests.
 
         Args:
-            progress: called now and then with the part that is played.
+            progress: called after each simulated second with the fraction that is
+                done.
         """
         self._timeline.after(0.0, self._next_request)
-        self._timeline.after(EXPIRY_LOOK_SECONDS, self._expire)
-        for trouble in self._scenario.troubles:
-            self._timeline.after(trouble.at, partial(self._begin, trouble))
-            end = trouble.at + trouble.lasts
-            self._timeline.after(end, partial(self._end, trouble))
+        self._timeline.after(POOL_CHECK_SECONDS, self._close_expired)
+        for disturbance in self._scenario.troubles:
+            self._timeline.after(
+                disturbance.at, partial(self._begin_disturbance, disturbance)
+            )
+            end = disturbance.at + disturbance.lasts
+            self._timeline.after(end, partial(self._end_disturbance, disturbance))
         for second in range(math.ceil(self._scenario.seconds)):
             self._timeline.run(second + 1.0)
             if progress is not None:
@@ -66,13 +71,13 @@
         self._timeline.run(self._scenario.seconds + patience_ms / MILLISECONDS)
         return self._outcomes
 
-    def _build(self, group: str) -> list[Server]:
+    def _build_servers(self, group: str) -> list[Server]:
         settings, log = self._scenario.servers, GroupLog()
         first = self._groups.index(group)
         servers = []
         for number in range(settings.replicas + 1):
             domain = (first + number) % self._scenario.failure_domains
-            described = BackendServer(
+            server_info = BackendServer(
                 name=f"{group}-s{number}",
                 group=group,
                 failure_domain=f"fd{domain}",
@@ -82,7 +87,7 @@
             )
             servers.append(
                 Server(
-                    described,
+                    server_info,
                     settings,
                     log,
                     self._timeline,
@@ -110,8 +115,8 @@
             pool_settings=settings,
         )
 
-    def _meet(self) -> None:
-        """Let the proxies of each failure domain know each other."""
+    def _register_neighbours(self) -> None:
+        """Register the proxies of each failure domain as neighbours of each other."""
         servers = self._scenario.servers
         limits = ServerLimits(servers.slots, servers.connections)
         for proxy in self._proxies:
@@ -135,38 +140,38 @@
             kind=kind,
             group=self._random.choice(self._groups),
             writes=self._random.random() < kind.writes,
-            work=self._work(kind) / statements,
+            work=self._sample_work(kind) / statements,
             statements=statements,
             arrived_at=self._timeline.now(),
         )
-        self._try(attempt, self._timeline.now(), 0)
+        self._send_attempt(attempt, self._timeline.now(), 0)
         self._timeline.after(self._random.expovariate(self._rate), self._next_request)
 
-    def _work(self, kind: Requests) -> float:
+    def _sample_work(self, kind: Requests) -> float:
         mean = math.log(kind.work_ms / MILLISECONDS) - kind.spread**2 / 2
         return self._random.lognormvariate(mean, kind.spread)
 
-    def _try(self, attempt: Attempt, began_at: float, number: int) -> None:
-        """Send one attempt to a proxy, which may hand it to an owner."""
-        own = self._random.choice(self._proxies)
-        while own.neighbour.name in self._lost:
-            own = self._random.choice(self._proxies)
-        present = replace(attempt, arrived_at=self._timeline.now())
-        ended = partial(self._take, present, began_at, number)
-        owners = own.directory.owners(attempt.group)
-        usable = [one for one in owners or () if one.name not in self._lost]
+    def _send_attempt(self, attempt: Attempt, began_at: float, number: int) -> None:
+        """Send one attempt to a proxy, which may forward it to an owner."""
+        entry = self._random.choice(self._proxies)
+        while entry.neighbour.name in self._lost_proxies:
+            entry = self._random.choice(self._proxies)
+        current = replace(attempt, arrived_at=self._timeline.now())
+        on_end = partial(self._handle_result, current, began_at, number)
+        owners = entry.directory.owners(attempt.group)
+        usable = [one for one in owners or () if one.name not in self._lost_proxies]
         if not usable:
-            own.serve(present, ended)
+            entry.serve(current, on_end)
             return
         hop = self._scenario.hop_ms / MILLISECONDS
-        holder = self._by_name[usable[0].name]
+        owner = self._proxies_by_name[usable[0].name]
 
-        def come_back(result: Result[None, Refused]) -> None:
-            self._timeline.after(hop, partial(ended, result))
+        def return_result(result: Result[None, Refused]) -> None:
+            self._timeline.after(hop, partial(on_end, result))
 
-        self._timeline.after(hop, partial(holder.serve, present, come_back))
+        self._timeline.after(hop, partial(owner.serve, current, return_result))
 
-    def _take(
+    def _handle_result(
         self,
         attempt: Attempt,
         began_at: float,
@@ -176,46 +181,46 @@
         elapsed = self._timeline.now() - began_at
         if result.is_ok():
             is_in_time = elapsed <= attempt.kind.target_ms / MILLISECONDS
-            self._outcomes.note(
+            self._outcomes.record(
                 attempt.kind.name, began_at, "in_time" if is_in_time else "late"
             )
             return
         refused = result.error
-        returns_at = elapsed + refused.retry_after
-        can_return = returns_at < attempt.kind.patience_ms / MILLISECONDS
-        if number >= attempt.kind.retries or not can_return:
+        retry_at = elapsed + refused.retry_after
+        can_retry = retry_at < attempt.kind.patience_ms / MILLISECONDS
+        if number >= attempt.kind.retries or not can_retry:
             self._outcomes.reasons[refused.reason] += 1
-            self._outcomes.note(attempt.kind.name, began_at, "refused")
+            self._outcomes.record(attempt.kind.name, began_at, "refused")
             return
-        again = partial(self._try, attempt, began_at, number + 1)
-        self._timeline.after(refused.retry_after, again)
+        retry = partial(self._send_attempt, attempt, began_at, number + 1)
+        self._timeline.after(refused.retry_after, retry)
 
-    def _expire(self) -> None:
+    def _close_expired(self) -> None:
         for proxy in self._proxies:
             proxy.close_expired()
-        self._timeline.after(EXPIRY_LOOK_SECONDS, self._expire)
-
-    def _begin(self, trouble: Trouble) -> None:
-        match trouble.kind:
-            case TroubleKind.BURST:
-                self._rate *= trouble.factor
-            case TroubleKind.LAG:
-                self._scale_lag(trouble.factor)
-            case TroubleKind.NO_REPLICAS:
+        self._timeline.after(POOL_CHECK_SECONDS, self._close_expired)
+
+    def _begin_disturbance(self, disturbance: Disturbance) -> None:
+        match disturbance.kind:
+            case DisturbanceKind.BURST:
+                self._rate *= disturbance.factor
+            case DisturbanceKind.LAG:
+                self._scale_lag(disturbance.factor)
+            case DisturbanceKind.NO_REPLICAS:
                 self._scale_lag(math.inf)
-            case TroubleKind.LOST_PROXIES:
-                count = int(len(self._proxies) * trouble.share)
+            case DisturbanceKind.LOST_PROXIES:
+                count = int(len(self._proxies) * disturbance.share)
                 lost = self._random.sample(self._proxies, count)
-                self._lost = {one.neighbour.name for one in lost}
+                self._lost_proxies = {one.neighbour.name for one in lost}
 
-    def _end(self, trouble: Trouble) -> None:
-        match trouble.kind:
-            case TroubleKind.BURST:
-                self._rate /= trouble.factor
-            case TroubleKind.LAG | TroubleKind.NO_REPLICAS:
+    def _end_disturbance(self, disturbance: Disturbance) -> None:
+        match disturbance.kind:
+            case DisturbanceKind.BURST:
+                self._rate /= disturbance.factor
+            case DisturbanceKind.LAG | DisturbanceKind.NO_REPLICAS:
                 self._scale_lag(1.0)
-            case TroubleKind.LOST_PROXIES:
-                self._lost = set()
+            case DisturbanceKind.LOST_PROXIES:
+                self._lost_proxies = set()
 
     def _scale_lag(self, factor: float) -> None:
         for server in self._servers:
--- a/packages/emulator/src/dogwoodspool_emulator/models.py
+++ b/packages/emulator/src/dogwoodspool_emulator/models.py
@@ -1,4 +1,4 @@
-"""Validated scenarios."""
+"""Models of validated scenarios."""
 
 from enum import StrEnum
 from typing import Self
@@ -7,7 +7,7 @@
 
 
 class Section(BaseModel):
-    """One table of a scenario; unknown names are refused."""
+    """One table of a scenario; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -16,11 +16,11 @@
     """The backend servers of each group: a primary and its replicas.
 
     Attributes:
-        slots: statements that a server runs at a time.
-        queue: statements that wait inside it; one more is refused.
-        connections: those that it takes.
-        connect_ms: time of a slot that a new connection takes.
-        lag_ms: how far replicas are behind.
+        slots: number of statements that a server runs concurrently.
+        queue: number of statements that may wait in a server; others are refused.
+        connections: number of connections that a server accepts.
+        connect_ms: slot time that a new connection takes.
+        lag_ms: replication lag of the replicas.
     """
 
     replicas: int = Field(default=2, ge=0)
@@ -35,16 +35,20 @@
     """One kind of request.
 
     Attributes:
-        share: part of all requests.
-        work_ms: mean time of a slot; ``spread`` is that of a lognormal distribution.
-        target_ms: an answer later than this is late.
+        share: weight of this kind among all requests.
+        work_ms: mean slot time of a request; it has a lognormal distribution.
+        spread: standard deviation of the logarithm of the slot time.
+        target_ms: target latency; a later answer counts as late.
         deadline_ms: time for one attempt.
-        patience_ms: time in which a refused caller may come back.
-        retries: how often it comes back.
-        writes: part of them that write.
-        max_age_ms: age of data that reads accept; None for the primary alone.
-        transactions: part of them that are transactions, all on the primary.
-        statements: those of each transaction, of ``work_ms`` together.
+        patience_ms: time since the first attempt within which a refused caller
+            retries.
+        retries: maximum number of retries.
+        writes: fraction of the requests that write.
+        max_age_ms: data age that reads accept; None to read at the primary only.
+        transactions: fraction of the requests that are transactions, which run on
+            the primary.
+        statements: number of statements of a transaction; ``work_ms`` is the time
+            of all of them together.
     """
 
     name: str
@@ -62,14 +66,14 @@
     statements: int = Field(default=4, ge=1)
 
 
-class TroubleKind(StrEnum):
-    """What goes wrong for a while.
+class DisturbanceKind(StrEnum):
+    """Kinds of temporary disturbances.
 
     Attributes:
-        BURST: ``factor`` times as many requests come.
-        LAG: replicas are ``factor`` times as far behind.
-        NO_REPLICAS: no replica answers.
-        LOST_PROXIES: a part of the proxies is gone; their callers go to others.
+        BURST: the request rate is multiplied by ``factor``.
+        LAG: the lag of the replicas is multiplied by ``factor``.
+        NO_REPLICAS: no replica has the position that a read requires.
+        LOST_PROXIES: a fraction of the proxies is down; their callers use others.
     """
 
     BURST = "burst"
@@ -78,10 +82,17 @@
     LOST_PROXIES = "lost_proxies"
 
 
-class Trouble(Section):
-    """One trouble and when it comes, in seconds."""
+class Disturbance(Section):
+    """One disturbance.
 
-    kind: TroubleKind
+    Attributes:
+        at: start, in seconds of the scenario.
+        lasts: duration in seconds.
+        factor: factor of ``BURST`` and ``LAG``.
+        share: fraction of the proxies that ``LOST_PROXIES`` takes down.
+    """
+
+    kind: DisturbanceKind
     at: float = Field(ge=0)
     lasts: float = Field(gt=0)
     factor: float = Field(default=1.0, gt=0)
@@ -89,12 +100,13 @@
 
 
 class Variant(Section):
-    """One policy of those that are compared.
+    """One of the policies that are compared.
 
     Attributes:
-        is_shared: proxies hand requests to the owners of a group's pools.
-        idle_expiry: seconds after which the last idle connection of a pool is closed.
-        surplus_expiry: the same for the others.
+        is_shared: whether proxies forward requests to the owners of a group's pools.
+        idle_expiry: seconds after which the last idle connection of a pool is closed;
+            None for the default.
+        surplus_expiry: the same for surplus connections.
     """
 
     name: str
@@ -107,10 +119,12 @@
     """A load on a deployment.
 
     Attributes:
-        proxies: numbers of proxies that are played, each by itself.
-        per_second: requests to all groups together.
-        hop_ms: one way between two proxies of a failure domain.
-        distance_ms: one way between two failure domains.
+        seconds: simulated duration.
+        seeds: seeds of the random numbers; each is simulated separately.
+        proxies: numbers of proxies; each is simulated separately.
+        per_second: requests per second to all groups together.
+        hop_ms: one-way latency between two proxies of a failure domain.
+        distance_ms: one-way latency between two failure domains.
     """
 
     seconds: float = Field(default=20.0, gt=0)
@@ -123,14 +137,17 @@
     distance_ms: float = Field(default=1.0, ge=0)
     servers: Servers = Servers()
     requests: list[Requests] = Field(min_length=1)
-    troubles: list[Trouble] = []
+    troubles: list[Disturbance] = []
     variants: list[Variant] = Field(default=[Variant(name="shared")], min_length=1)
 
     @model_validator(mode="after")
     def _check_names(self) -> Self:
         names = [one.name for one in self.variants]
         if len(set(names)) != len(names):
-            raise ValueError("variants have the same name")
+            raise ValueError("variants must have different names")
         if min(self.proxies) < self.failure_domains:
-            raise ValueError("each failure domain needs a proxy")
+            raise ValueError(
+                f"each failure domain needs a proxy: proxies must be at least "
+                f"{self.failure_domains}"
+            )
         return self
--- a/packages/emulator/src/dogwoodspool_emulator/outcomes.py
+++ b/packages/emulator/src/dogwoodspool_emulator/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of the requests of an emulation."""
+"""Outcomes of the requests of an emulation."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,17 +7,17 @@
 
 
 @dataclass(slots=True)
-class SlotTimes:
-    """What servers did, in seconds of slots and in numbers.
+class ServerStats:
+    """Counts and slot times of all servers together.
 
     Attributes:
-        connects: connections that were asked for.
-        refused_connects: those of them that were refused.
-        arrivals: statements that came to a server.
-        refusals: those of them that found its queue full.
-        behind: those of them that a replica refused as behind.
-        connecting: seconds of slots that new connections took.
-        working: seconds of slots that statements took.
+        connects: connection attempts.
+        refused_connects: connection attempts that were refused.
+        arrivals: statements that reached a server.
+        refusals: statements refused because the server's queue was full.
+        behind: statements that a replica refused because its data was behind.
+        connecting: slot seconds that new connections took.
+        working: slot seconds that statements took.
     """
 
     connects: int = 0
@@ -30,32 +30,32 @@
 
     @property
     def work_share(self) -> float:
-        """Part of the used slot time that was work."""
+        """Fraction of the used slot time that was spent on statements."""
         used = self.connecting + self.working
         return self.working / used if used else 1.0
 
 
 @dataclass
 class Outcomes:
-    """How requests ended, in all and over time."""
+    """How requests ended: in total, by time window and by kind."""
 
     requests: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
     reasons: Counter[str] = field(default_factory=Counter)
-    servers: SlotTimes = field(default_factory=SlotTimes)
+    servers: ServerStats = field(default_factory=ServerStats)
     windows: dict[int, Counter[str]] = field(default_factory=dict)
     kinds: dict[str, Counter[str]] = field(default_factory=dict)
 
     @property
     def served_share(self) -> float:
-        """Part of the requests that were answered in time."""
+        """Fraction of the requests that were answered in time."""
         return self.in_time / max(1, self.requests)
 
     @property
     def worst_window(self) -> float:
-        """The lowest part answered in time of any window that was played whole."""
+        """The lowest fraction answered in time in any window with requests."""
         shares = [
             counts["in_time"] / counts["requests"]
             for counts in self.windows.values()
@@ -65,16 +65,16 @@
 
     @property
     def connects_per_100(self) -> float:
-        """Connections opened for 100 requests."""
+        """Connections opened per 100 requests."""
         opened = self.servers.connects - self.servers.refused_connects
         return 100 * opened / max(1, self.requests)
 
     def share_in_time(self, kind: str) -> float:
-        """Return the part of one kind of request that was answered in time."""
+        """Return the fraction of one kind of request that was answered in time."""
         counts = self.kinds[kind]
         return counts["in_time"] / counts["requests"]
 
-    def note(self, kind: str, began_at: float, outcome: str) -> None:
+    def record(self, kind: str, began_at: float, outcome: str) -> None:
         """Count one request that ended."""
         self.requests += 1
         setattr(self, outcome, getattr(self, outcome) + 1)
--- a/packages/emulator/src/dogwoodspool_emulator/proxies.py
+++ b/packages/emulator/src/dogwoodspool_emulator/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies that decide with the product's own objects, without threads or sockets."""
+"""Emulated proxies that run the production classes without threads or sockets."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -38,7 +38,7 @@
 from dogwoodspool_sharing import Neighbour, ProxyDirectory
 from expression import Error, Ok, Result
 
-from .const import UP_FOR_SECONDS
+from .const import PROXY_UPTIME_SECONDS
 from .models import Requests
 from .servers import Answer, Connection, Server
 from .timeline import Timeline
@@ -53,18 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A statement that did not run.
+    """A refused statement or request.
 
     Attributes:
-        retry_after: seconds until its caller shall come back.
+        reason: the reason, which the results count.
+        retry_after: seconds after which the caller should retry.
     """
 
     reason: str
     retry_after: float
 
 
-# How a statement ends.
-Ended = Callable[[Result[None, Refused]], None]
+# Called with the result of an attempt.
+EndCallback = Callable[[Result[None, Refused]], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,8 +73,8 @@
     """One attempt of a caller's request.
 
     Attributes:
-        work: seconds of a slot that each statement takes.
-        statements: one, or those of a transaction.
+        work: slot seconds that each statement takes.
+        statements: number of statements; more than one for a transaction.
     """
 
     kind: Requests
@@ -85,39 +86,39 @@
 
     @property
     def is_transaction(self) -> bool:
-        """Tell whether its statements are one transaction."""
+        """Return whether its statements are one transaction."""
         return self.statements > 1
 
     @property
     def deadline(self) -> float:
-        """When an answer is of no more use."""
+        """Time after which the caller no longer uses an answer."""
         return self.arrived_at + self.kind.deadline_ms / MILLISECONDS
 
     @property
-    def sent_again_until(self) -> float:
-        """When a statement that a full server refused is sent no more."""
+    def resend_until(self) -> float:
+        """Time until which a statement is resent after a full server refused it."""
         if self.is_transaction:
             return self.deadline
         return self.start_by if self.writes else self.arrived_at
 
     @property
     def start_by(self) -> float:
-        """When it may wait no longer for a place."""
+        """Time until which it may wait for admission."""
         target = min(self.kind.target_ms, self.kind.deadline_ms) / MILLISECONDS
         return self.arrived_at + target * WAIT_SHARE
 
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One server with what bounds a proxy's work on it."""
+    """One server, with the pool and the limits of a proxy's work on it."""
 
     server: Server
     pool: ConnectionPool[Connection]
     queue: StatementQueue
     ceiling: ConnectionCeiling
 
-    def adjust(self) -> None:
-        """Put the present ceiling in force."""
+    def apply_ceiling(self) -> None:
+        """Apply the current ceiling to the pool and the queue."""
         limit = self.ceiling.value()
         if limit != self.pool.limit:
             self.pool.set_limit(limit)
@@ -125,21 +126,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Run:
-    """A statement on its way to one server.
+class _Execution:
+    """The execution of an attempt's statements on one server.
 
     Attributes:
-        floor: position that the server must have; None for any.
-        start_by: when it may wait no longer for a place.
-        has_alternatives: another server may serve it as well.
+        min_position: position that the server must have; None for any.
+        start_by: time until which it may wait for admission.
+        has_alternatives: whether another server may serve it as well.
     """
 
     backend: Backend
     attempt: Attempt
-    floor: Position | None
+    min_position: Position | None
     start_by: float
     has_alternatives: bool
-    ended: Callable[[Result[Answer, Refused]], None]
+    on_end: Callable[[Result[Answer, Refused]], None]
 
 
 class _Connector:
@@ -151,10 +152,10 @@
 
 
 class Proxy:
-    """One proxy: its own knowledge, pools and queues.
+    """One proxy with its own state, pools and queues.
 
     Args:
-        distance: seconds of one way to a server of another failure domain.
+        distance: one-way latency in seconds to a server of another failure domain.
     """
 
     def __init__(
@@ -174,230 +175,248 @@
         self._timeline = timeline
         self._distance = distance
         self._pool_settings = pool_settings
-        self._servers = {one.described.name: one for one in servers}
+        self._servers = {one.server_info.name: one for one in servers}
         self._primaries = {
-            one.described.group: one for one in servers if one.is_primary
+            one.server_info.group: one for one in servers if one.is_primary
         }
         self._table = ServerTable(timeline.clock)
-        self._table.adopt_committed(one.described for one in servers)
+        self._table.adopt_committed(one.server_info for one in servers)
         self._freshness = FreshnessTracker(timeline.clock)
-        self._behind = LagTracker(timeline.clock)
+        self._lag_tracker = LagTracker(timeline.clock)
         self._backends: dict[str, Backend] = {}
 
-    def serve(self, attempt: Attempt, ended: Ended) -> None:
+    def serve(self, attempt: Attempt, on_end: EndCallback) -> None:
         """Serve one attempt on the pools of this proxy."""
-        floor = self._floor(attempt)
-        if floor is None:
-            self._serve_on_primary(attempt, ended)
+        min_position = self._min_position(attempt)
+        if min_position is None:
+            self._serve_on_primary(attempt, on_end)
         else:
-            behind = self._behind.lagging(floor)
-            self._serve_read(attempt, floor, behind, ended)
+            behind = self._lag_tracker.lagging(min_position)
+            self._serve_read(attempt, min_position, behind, on_end)
 
     def close_expired(self) -> None:
-        """Close connections that have idled for too long."""
+        """Close connections whose idle time has expired."""
         for backend in self._backends.values():
             backend.pool.close_expired()
 
-    def _floor(self, attempt: Attempt) -> Position | None:
+    def _min_position(self, attempt: Attempt) -> Position | None:
         age_ms = attempt.kind.max_age_ms
         if attempt.writes or attempt.is_transaction or age_ms is None:
             return None
         return self._freshness.min_position(attempt.group, age_ms / MILLISECONDS)
 
-    def _serve_on_primary(self, attempt: Attempt, ended: Ended) -> None:
+    def _serve_on_primary(self, attempt: Attempt, on_end: EndCallback) -> None:
         primary = self._primaries[attempt.group]
         asked_at = self._timeline.now()
 
-        def take(result: Result[Answer, Refused]) -> None:
+        def on_result(result: Result[Answer, Refused]) -> None:
             if result.is_error():
-                ended(Error(result.error))
+                on_end(Error(result.error))
             elif result.ok is Answer.OK:
                 if attempt.writes:
                     primary.commit()
                 self._freshness.record(attempt.group, primary.position, asked_at)
-                ended(Ok(None))
+                on_end(Ok(None))
             else:
-                ended(Error(self._full(primary)))
+                on_end(Error(self._server_busy(primary)))
 
-        self._run(primary, attempt, None, take, has_alternatives=False)
+        self._run_attempt(primary, attempt, None, on_result, has_alternatives=False)
 
     def _serve_read(
         self,
         attempt: Attempt,
-        floor: Position,
+        min_position: Position,
         excluded: set[str],
-        ended: Ended,
+        on_end: EndCallback,
         number: int = 0,
     ) -> None:
         ranked = rank_for_read(
             self._table.servers(attempt.group),
-            primary=self._primaries[attempt.group].described.name,
+            primary=self._primaries[attempt.group].server_info.name,
             failure_domain=self.failure_domain,
             excluded=excluded,
         )
         if not ranked or number >= MAX_READ_ATTEMPTS:
-            self._serve_on_primary(attempt, ended)
+            self._serve_on_primary(attempt, on_end)
             return
         server = self._servers[ranked[0].name]
 
-        def take(result: Result[Answer, Refused]) -> None:
+        def on_result(result: Result[Answer, Refused]) -> None:
             if result.is_ok() and result.ok is Answer.OK:
-                ended(Ok(None))
+                on_end(Ok(None))
                 return
-            excluded.add(server.described.name)
-            self._serve_read(attempt, floor, excluded, ended, number + 1)
+            excluded.add(server.server_info.name)
+            self._serve_read(attempt, min_position, excluded, on_end, number + 1)
 
-        self._run(server, attempt, floor, take, has_alternatives=True)
+        self._run_attempt(
+            server, attempt, min_position, on_result, has_alternatives=True
+        )
 
-    def _run(
+    def _run_attempt(
         self,
         server: Server,
         attempt: Attempt,
-        floor: Position | None,
-        ended: Callable[[Result[Answer, Refused]], None],
+        min_position: Position | None,
+        on_end: Callable[[Result[Answer, Refused]], None],
         *,
         has_alternatives: bool,
     ) -> None:
-        """Wait for a place and a connection, and run a statement."""
-        backend = self._backend(server)
-        backend.adjust()
+        """Wait for admission and a connection, and run the statements."""
+        backend = self._get_backend(server)
+        backend.apply_ceiling()
         start_by = max(attempt.start_by, self._timeline.now())
-        run = _Run(backend, attempt, floor, start_by, has_alternatives, ended)
+        execution = _Execution(
+            backend, attempt, min_position, start_by, has_alternatives, on_end
+        )
 
-        def changed() -> None:
+        def on_ticket_changed() -> None:
             if ticket.state is TicketState.ADMITTED:
-                self._timeline.after(0.0, partial(self._connect, run, ticket))
+                self._timeline.after(0.0, partial(self._connect, execution, ticket))
             elif ticket.state is TicketState.DISPLACED:
-                self._give_up(run, ticket)
+                self._refuse_waiting(execution, ticket)
 
-        arrived = backend.queue.request_admission(
-            start_by, attempt.kind.priority, changed
+        admission = backend.queue.request_admission(
+            start_by, attempt.kind.priority, on_ticket_changed
         )
-        if arrived.is_error():
-            ended(Error(_refused(arrived.error)))
+        if admission.is_error():
+            on_end(Error(_to_refused(admission.error)))
             return
-        ticket = arrived.ok
+        ticket = admission.ok
         if ticket.state is TicketState.ADMITTED:
-            self._connect(run, ticket)
+            self._connect(execution, ticket)
             return
 
-        def time_out() -> None:
+        def on_wait_timeout() -> None:
             if ticket.state is TicketState.WAITING:
-                self._give_up(run, ticket)
+                self._refuse_waiting(execution, ticket)
 
-        self._timeline.after(ticket.latest_start - self._timeline.now(), time_out)
+        self._timeline.after(
+            ticket.latest_start - self._timeline.now(), on_wait_timeout
+        )
 
-    def _give_up(self, run: _Run, ticket: Ticket) -> None:
-        run.ended(Error(_refused(run.backend.queue.refuse_ticket(ticket))))
+    def _refuse_waiting(self, execution: _Execution, ticket: Ticket) -> None:
+        execution.on_end(
+            Error(_to_refused(execution.backend.queue.refuse_ticket(ticket)))
+        )
 
-    def _connect(self, run: _Run, ticket: Ticket) -> None:
-        backend = run.backend
+    def _connect(self, execution: _Execution, ticket: Ticket) -> None:
+        backend = execution.backend
         refused = Refused("no connection", NO_CONNECTION_RETRY_MS / MILLISECONDS)
         try:
             connection = backend.pool.acquire(self._timeline.now())
         except PoolTimeoutError:
             backend.queue.end(ticket, 0.0, AdmissionOutcome.NO_WORK)
-            run.ended(Error(refused))
+            execution.on_end(Error(refused))
         except ConnectionLimitError:
             backend.ceiling.record_connection_refused(backend.pool.open_count)
-            backend.adjust()
-            remaining = run.start_by - self._timeline.now()
-            if remaining <= 0 or run.has_alternatives:
+            backend.apply_ceiling()
+            remaining = execution.start_by - self._timeline.now()
+            if remaining <= 0 or execution.has_alternatives:
                 backend.queue.end(ticket, 0.0, AdmissionOutcome.NO_WORK)
-                run.ended(Error(refused))
+                execution.on_end(Error(refused))
                 return
             pause = min(remaining, CONNECTION_RETRY_SECONDS)
-            self._timeline.after(pause, partial(self._connect, run, ticket))
+            self._timeline.after(pause, partial(self._connect, execution, ticket))
         else:
-            self._send(run, connection, run.attempt.statements - 1, ticket)
+            self._send(execution, connection, execution.attempt.statements - 1, ticket)
 
     def _send(
         self,
-        run: _Run,
+        execution: _Execution,
         connection: Connection,
-        left: int,
+        remaining: int,
         ticket: Ticket | None = None,
     ) -> None:
-        """Send a statement, with others of its transaction left to send after it.
+        """Send a statement; the other statements of its transaction follow.
 
         Args:
-            run: what runs where.
-            connection: it is held until the last statement.
-            left: statements left.
-            ticket: its place in the queue, which only the first one has.
+            execution: the attempt and its server.
+            connection: the connection, which is held until the last statement.
+            remaining: number of statements to send after this one.
+            ticket: the admission, which ends with the answer to the first statement.
         """
-        server = run.backend.server
-        name = server.described.name
+        server = execution.backend.server
+        name = server.server_info.name
         began_at = self._timeline.now()
         self._table.begin(name)
 
-        def done(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             elapsed = self._timeline.now() - began_at
             worked = elapsed if answer is Answer.OK else None
             self._table.end(name, worked, is_answered=True)
-            self._note_floor(run, answer)
+            self._record_replica_lag(execution, answer)
             if ticket is not None:
-                run.backend.queue.end(ticket, elapsed, OUTCOMES[answer])
-            self._go_on(run, connection, left, answer)
+                execution.backend.queue.end(ticket, elapsed, OUTCOMES[answer])
+            self._continue(execution, connection, remaining, answer)
 
-        is_near = server.described.failure_domain == self.failure_domain
-        way = 0.0 if is_near else self._distance
+        is_same_domain = server.server_info.failure_domain == self.failure_domain
+        latency = 0.0 if is_same_domain else self._distance
 
-        def answered(answer: Answer) -> None:
-            self._timeline.after(way, partial(done, answer))
+        def return_answer(answer: Answer) -> None:
+            self._timeline.after(latency, partial(on_answer, answer))
 
         self._timeline.after(
-            way,
-            partial(server.run, connection, run.attempt.work, run.floor, answered),
+            latency,
+            partial(
+                server.run,
+                connection,
+                execution.attempt.work,
+                execution.min_position,
+                return_answer,
+            ),
         )
 
-    def _note_floor(self, run: _Run, answer: Answer) -> None:
-        name = run.backend.server.described.name
-        if answer is Answer.BEHIND and run.floor is not None:
-            self._behind.record_lagging(name, run.floor)
-        elif run.floor is not None:
-            self._behind.record_caught_up(name)
+    def _record_replica_lag(self, execution: _Execution, answer: Answer) -> None:
+        name = execution.backend.server.server_info.name
+        if answer is Answer.BEHIND and execution.min_position is not None:
+            self._lag_tracker.record_lagging(name, execution.min_position)
+        elif execution.min_position is not None:
+            self._lag_tracker.record_caught_up(name)
 
-    def _go_on(
-        self, run: _Run, connection: Connection, left: int, answer: Answer
+    def _continue(
+        self,
+        execution: _Execution,
+        connection: Connection,
+        remaining: int,
+        answer: Answer,
     ) -> None:
-        """Send the next statement, or this one again, or end."""
-        again_at = self._timeline.now() + BUSY_RETRY_SECONDS
-        if answer is Answer.OK and left:
-            self._send(run, connection, left - 1)
-        elif answer is Answer.BUSY and again_at < run.attempt.sent_again_until:
-            again = partial(self._send, run, connection, left)
-            self._timeline.after(BUSY_RETRY_SECONDS, again)
+        """Send the next statement, resend this one, or end the execution."""
+        retry_at = self._timeline.now() + BUSY_RETRY_SECONDS
+        if answer is Answer.OK and remaining:
+            self._send(execution, connection, remaining - 1)
+        elif answer is Answer.BUSY and retry_at < execution.attempt.resend_until:
+            retry = partial(self._send, execution, connection, remaining)
+            self._timeline.after(BUSY_RETRY_SECONDS, retry)
         else:
-            run.backend.pool.release(connection, reuse=True)
-            run.ended(Ok(answer))
+            execution.backend.pool.release(connection, reuse=True)
+            execution.on_end(Ok(answer))
 
-    def _full(self, server: Server) -> Refused:
-        backend = self._backends[server.described.name]
+    def _server_busy(self, server: Server) -> Refused:
+        backend = self._backends[server.server_info.name]
         return Refused(
             "server busy", backend.queue.next_retry_after_ms() / MILLISECONDS
         )
 
-    def _backend(self, server: Server) -> Backend:
-        name = server.described.name
+    def _get_backend(self, server: Server) -> Backend:
+        name = server.server_info.name
         found = self._backends.get(name)
         if found is None:
-            found = self._build(server)
+            found = self._build_backend(server)
             self._backends[name] = found
         return found
 
-    def _build(self, server: Server) -> Backend:
-        described, clock = server.described, self._timeline.clock
-        highest = int(described.connections * CONNECTION_SHARE)
-        ceiling = ConnectionCeiling(clock, highest, -UP_FOR_SECONDS)
+    def _build_backend(self, server: Server) -> Backend:
+        server_info, clock = server.server_info, self._timeline.clock
+        highest = int(server_info.connections * CONNECTION_SHARE)
+        ceiling = ConnectionCeiling(clock, highest, -PROXY_UPTIME_SECONDS)
         first = ceiling.value()
         pool = ConnectionPool(
-            described, _Connector(server), clock, self._pool_settings, first
+            server_info, _Connector(server), clock, self._pool_settings, first
         )
-        queue = StatementQueue(clock, described.slots, first, QUEUE_LIMIT)
+        queue = StatementQueue(clock, server_info.slots, first, QUEUE_LIMIT)
         return Backend(server, pool, queue, ceiling)
 
 
-def _refused(refusal: Refusal) -> Refused:
+def _to_refused(refusal: Refusal) -> Refused:
     retry_after = refusal.retry_after_ms / MILLISECONDS
     return Refused(f"admission {refusal.reason}", retry_after)
--- a/packages/emulator/src/dogwoodspool_emulator/report.py
+++ b/packages/emulator/src/dogwoodspool_emulator/report.py
@@ -1,4 +1,4 @@
-"""Show the outcomes of emulations side by side: as JSON, as a table and as a plot."""
+"""Report the outcomes of emulations as JSON, as a table and as a plot."""
 
 import json
 from collections.abc import Sequence
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One variant at one number of proxies, played with each seed."""
+    """The outcomes of one variant with one number of proxies, for each seed."""
 
     variant: str
     proxies: int
@@ -34,28 +34,28 @@
 
     def figures(self) -> dict[str, float]:
         """Return the means over all seeds."""
-        played = self.outcomes
+        outcomes = self.outcomes
         return {
-            "in_time": mean(one.served_share for one in played),
-            "worst_second": mean(one.worst_window for one in played),
-            "late": mean(one.late / max(1, one.requests) for one in played),
-            "refused": mean(one.refused / max(1, one.requests) for one in played),
-            "connects_per_100": mean(one.connects_per_100 for one in played),
+            "in_time": mean(one.served_share for one in outcomes),
+            "worst_second": mean(one.worst_window for one in outcomes),
+            "late": mean(one.late / max(1, one.requests) for one in outcomes),
+            "refused": mean(one.refused / max(1, one.requests) for one in outcomes),
+            "connects_per_100": mean(one.connects_per_100 for one in outcomes),
             "refused_connects_per_100": mean(
                 100 * one.servers.refused_connects / max(1, one.requests)
-                for one in played
+                for one in outcomes
             ),
-            "work_share": mean(one.servers.work_share for one in played),
+            "work_share": mean(one.servers.work_share for one in outcomes),
             "refused_by_servers": mean(
                 (one.servers.refusals + one.servers.behind)
                 / max(1, one.servers.arrivals)
-                for one in played
+                for one in outcomes
             ),
         }
 
 
 def as_json(rows: Sequence[Row]) -> str:
-    """Return all figures, those of each seed as well."""
+    """Return the means, and the counts of each seed, as JSON."""
     content: list[dict[str, Any]] = [
         {
             "variant": row.variant,
@@ -83,7 +83,7 @@
 
 
 def as_table(rows: Sequence[Row]) -> str:
-    """Return the means over all seeds, a line for each row."""
+    """Return the means over all seeds as a table with one line per row."""
     lines = [list(COLUMNS)]
     for row in rows:
         figures = row.figures()
@@ -111,8 +111,8 @@
 
 
 def save_plot(rows: Sequence[Row], path: Path) -> None:
-    """Write the part answered in time over time, a line for each row."""
-    # Loaded here: a run without a plot needs none of it.
+    """Plot the fraction answered in time by second for each row's first seed."""
+    # Imported here, since only runs with a plot need matplotlib.
     from matplotlib.figure import Figure  # noqa: PLC0415
 
     figure = Figure(figsize=PLOT_SIZE)
--- a/packages/emulator/src/dogwoodspool_emulator/scenario_file.py
+++ b/packages/emulator/src/dogwoodspool_emulator/scenario_file.py
@@ -1,4 +1,4 @@
-"""Read scenarios."""
+"""Read scenario files."""
 
 import tomllib
 from pathlib import Path
@@ -14,7 +14,7 @@
     """Read a scenario from a TOML file.
 
     Raises:
-        ScenarioError: with one line for what is wrong.
+        ScenarioError: one line with the file and its first problem.
     """
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
--- a/packages/emulator/src/dogwoodspool_emulator/servers.py
+++ b/packages/emulator/src/dogwoodspool_emulator/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers with slots, connections and replicas that lag."""
+"""Emulated backend servers with slots, connections and replication lag."""
 
 from bisect import bisect_right
 from collections import deque
@@ -12,7 +12,7 @@
 
 from .const import REFUSAL_SECONDS
 from .models import Servers
-from .outcomes import SlotTimes
+from .outcomes import ServerStats
 from .timeline import Timeline
 
 
@@ -25,12 +25,17 @@
     NONE = auto()
 
 
-Done = Callable[[Answer], None]
+AnswerCallback = Callable[[Answer], None]
 
 
 @dataclass(eq=False)
 class Connection:
-    """A connection to an emulated server; see ``PooledConnection``."""
+    """A connection to an emulated server; see ``PooledConnection``.
+
+    Attributes:
+        has_begun: whether its first statement, which takes the time to connect as
+            well, was started.
+    """
 
     server: "Server"
     answered_at: float
@@ -44,17 +49,17 @@
     has_unread_answer: bool = False
 
     def has_unexpected_input(self) -> bool:
-        """Tell whether the idle connection holds bytes or its end."""
+        """Return whether an idle connection has received bytes or an end of stream."""
         return not self.is_open
 
     def ping(self, timeout: float) -> None:
-        """Ask for a sign of life."""
+        """Check that the server answers."""
         if not self.server.is_up:
             self.close()
-            raise OutcomeUnknownError("no answer")
+            raise OutcomeUnknownError("the server did not answer a ping")
 
     def reset(self, timeout: float) -> None:
-        """Make the connection fit for another caller."""
+        """Reset the session state, of which an emulated connection has none."""
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -67,22 +72,22 @@
 class _Job:
     connection: Connection
     work: float
-    floor: Position | None
-    done: Done
+    min_position: Position | None
+    on_answer: AnswerCallback
 
 
 @dataclass
 class GroupLog:
-    """The commits of a group, by which replicas lag."""
+    """The commit times of a group, from which replicas derive their positions."""
 
     times: list[float] = field(default_factory=lambda: [0.0])
 
     def append(self, at: float) -> None:
-        """Note a commit."""
+        """Record a commit."""
         self.times.append(at)
 
     def position(self, at: float) -> Position:
-        """Return how far the log was at a time."""
+        """Return the position of the log at a time."""
         return Position(1, bisect_right(self.times, at))
 
 
@@ -90,24 +95,24 @@
     """One backend server.
 
     Attributes:
-        described: as control's view describes it.
-        is_primary: it takes writes, and has the whole log.
-        is_up: it answers.
-        lag: seconds by which it is behind, where it is a replica.
-        connections: those that are open.
+        server_info: the server as in control's view.
+        is_primary: whether it takes writes and has the whole log.
+        is_up: whether it answers.
+        lag: replication lag in seconds; 0 for the primary.
+        connections: number of open connections.
     """
 
     def __init__(
         self,
-        described: BackendServer,
+        server_info: BackendServer,
         settings: Servers,
         log: GroupLog,
         timeline: Timeline,
-        times: SlotTimes,
+        stats: ServerStats,
         *,
         is_primary: bool,
     ) -> None:
-        self.described = described
+        self.server_info = server_info
         self.is_primary = is_primary
         self.is_up = True
         self.lag = 0.0 if is_primary else settings.lag_ms / MILLISECONDS
@@ -115,41 +120,48 @@
         self._settings = settings
         self._log = log
         self._timeline = timeline
-        self._times = times
+        self._stats = stats
         self._running = 0
         self._waiting: deque[_Job] = deque()
 
     @property
     def position(self) -> Position:
-        """How far its data is."""
+        """Position of its data."""
         return self._log.position(self._timeline.now() - self.lag)
 
     def connect(self) -> Connection:
-        """Open a connection; its time is that of its first statement."""
-        self._times.connects += 1
+        """Open a connection; its first statement takes the time to connect as well."""
+        self._stats.connects += 1
         if self.connections >= self._settings.connections:
-            self._times.refused_connects += 1
-            raise ConnectionLimitError(f"{self.described.name} takes no more")
+            self._stats.refused_connects += 1
+            raise ConnectionLimitError(
+                f"{self.server_info.name} has reached its limit of "
+                f"{self._settings.connections} connections"
+            )
         self.connections += 1
         return Connection(self, self._timeline.now())
 
     def run(
-        self, connection: Connection, work: float, floor: Position | None, done: Done
+        self,
+        connection: Connection,
+        work: float,
+        min_position: Position | None,
+        on_answer: AnswerCallback,
     ) -> None:
-        """Run a statement, at once or when a slot comes free."""
-        self._times.arrivals += 1
+        """Run a statement once a slot is free; refuse it if the queue is full."""
+        self._stats.arrivals += 1
         if not self.is_up:
-            return  # Its caller finds out by the deadline.
+            return  # The caller notices when its deadline has passed.
         if self._running < self._settings.slots:
-            self._start(_Job(connection, work, floor, done))
+            self._start(_Job(connection, work, min_position, on_answer))
         elif len(self._waiting) < self._settings.queue:
-            self._waiting.append(_Job(connection, work, floor, done))
+            self._waiting.append(_Job(connection, work, min_position, on_answer))
         else:
-            self._times.refusals += 1
-            self._timeline.after(REFUSAL_SECONDS, lambda: done(Answer.BUSY))
+            self._stats.refusals += 1
+            self._timeline.after(REFUSAL_SECONDS, lambda: on_answer(Answer.BUSY))
 
     def commit(self) -> None:
-        """Note a commit of the group."""
+        """Record a commit of the group."""
         self._log.append(self._timeline.now())
 
     def _start(self, job: _Job) -> None:
@@ -158,13 +170,13 @@
         if not job.connection.has_begun:
             job.connection.has_begun = True
             connecting = self._settings.connect_ms / MILLISECONDS
-        is_behind = job.floor is not None and self.position < job.floor
+        is_behind = job.min_position is not None and self.position < job.min_position
         work = 0.0 if is_behind else job.work
-        self._times.connecting += connecting
-        self._times.working += work
+        self._stats.connecting += connecting
+        self._stats.working += work
         answer = Answer.BEHIND if is_behind else Answer.OK
         if is_behind:
-            self._times.behind += 1
+            self._stats.behind += 1
         seconds = connecting + max(work, REFUSAL_SECONDS)
         self._timeline.after(seconds, lambda: self._end(job, answer))
 
@@ -174,4 +186,4 @@
         if self._waiting:
             self._start(self._waiting.popleft())
         if self.is_up:
-            job.done(answer)
+            job.on_answer(answer)
--- a/packages/emulator/src/dogwoodspool_emulator/timeline.py
+++ b/packages/emulator/src/dogwoodspool_emulator/timeline.py
@@ -1,4 +1,4 @@
-"""Simulated time: what happens, in its order."""
+"""Simulated time, in which events run in order."""
 
 import heapq
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class Timeline:
-    """Run events in the order of their times, on one clock."""
+    """Run events in the order of their times and advance one clock."""
 
     def __init__(self) -> None:
         self._clock = ManualClock()
@@ -19,7 +19,7 @@
 
     @property
     def clock(self) -> ManualClock:
-        """The clock, which moves from event to event."""
+        """The clock, which advances from event to event."""
         return self._clock
 
     def now(self) -> float:
@@ -27,12 +27,12 @@
         return self._clock.now()
 
     def after(self, seconds: float, event: Event) -> None:
-        """Let something happen later."""
+        """Schedule an event after a delay in seconds."""
         at = self.now() + max(0.0, seconds)
         heapq.heappush(self._events, (at, next(self._order), event))
 
     def run(self, until: float) -> None:
-        """Run all events up to a time."""
+        """Run all events up to a time, in simulated seconds."""
         while self._events and self._events[0][0] <= until:
             at, _, event = heapq.heappop(self._events)
             self._clock.advance(at - self.now())
