--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/upkeep.py
@@ -89,7 +89,8 @@
         return [
             SettleWriteAcks(name, settings.index)
             for name in settings.unsettled_groups
-            if settings.is_strict(name) and self._is_replicated(name, settings.index)
+            if settings.requires_replica_ack(name)
+            and self._is_replicated(name, settings.index)
         ]
 
     def _asking(self, group: GroupState, server: BackendServer) -> Callable[[], None]:
--- a/packages/control/src/dogwoodspool_control/settings/__init__.py
+++ b/packages/control/src/dogwoodspool_control/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings tree, documents from outside, and the view that proxies follow."""
+"""Settings tree, external documents, and the view that proxies follow."""
--- a/packages/control/src/dogwoodspool_control/settings/documents.py
+++ b/packages/control/src/dogwoodspool_control/settings/documents.py
@@ -1,7 +1,8 @@
-"""Settings and endpoints that come from outside as one complete document.
+"""Settings and endpoints that an external system submits as one complete document.
 
-An outside system sends everything at once, under a revision of its own. It takes
-effect as one change of the tree and of the endpoints, or not at all.
+The external system sends the complete configuration under a revision number of its
+own. It is applied atomically to the settings tree and to the endpoints, or rejected
+as a whole.
 """
 
 import base64
@@ -23,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A complete description of what is in force.
+    """A complete description of the settings and endpoints.
 
     Attributes:
-        nodes: overrides of each settings node that it describes, by path.
+        nodes: overrides of each settings node in the document, by path.
         endpoints: all endpoints.
-        source: the text from which it was made, for whoever asks for it back.
+        source: the text that was submitted, returned on request.
     """
 
     nodes: Mapping[str, dict[str, Any]]
@@ -40,20 +41,21 @@
 
 
 def pack(document: Document) -> str:
-    """Return the log's form of a document.
+    """Encode a document for the replicated log.
 
-    It is compressed: a description of 350 endpoints has 110 KB as JSON and 24 KB
-    so, and travels to each voter whenever one value in it changes.
+    The JSON is compressed because the whole document is replicated to each voter
+    whenever one value in it changes: with 350 endpoints it takes 110 KB as JSON and
+    24 KB compressed.
     """
     text = json.dumps(asdict(document), separators=(",", ":"))
     return base64.b85encode(zlib.compress(text.encode())).decode()
 
 
 def unpack(content: str) -> Document:
-    """Return the document of a log entry.
+    """Decode the document of a log entry.
 
     Raises:
-        CommandRejectedError: the content is none that ``pack`` made.
+        CommandRejectedError: the content is not valid output of ``pack``.
     """
     try:
         text = zlib.decompress(base64.b85decode(content))
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentSnapshot:
-    """What a snapshot holds of the newest document."""
+    """The latest document in the form kept in a snapshot."""
 
     revision: int = 0
     content: str = ""
@@ -72,12 +74,12 @@
 
 @dataclass(slots=True)
 class DocumentState:
-    """The newest document in force.
+    """The latest document that was applied.
 
     Attributes:
-        revision: its number; 0 before the first one.
-        content: its packed form.
-        document: its content.
+        revision: revision of the document; 0 before the first one.
+        content: the document as encoded by ``pack``.
+        document: the decoded document.
     """
 
     revision: int = 0
@@ -92,9 +94,10 @@
     def replace(
         self, revision: int, content: str, author: str, tree: SettingsTree, index: int
     ) -> Result[bool, ChangeRejected]:
-        """Put a newer document in force; tell whether it was newer.
+        """Apply a document and return whether its revision was newer.
 
-        A repeated or overtaken revision changes nothing, whatever its content.
+        A revision that is equal to or lower than the current one changes nothing,
+        whatever its content.
         """
         if revision <= self.revision:
             return Ok(False)
@@ -107,21 +110,21 @@
         return Ok(True)
 
     def snapshot(self) -> DocumentSnapshot:
-        """Return what a snapshot holds."""
+        """Return the snapshot of this state."""
         return DocumentSnapshot(self.revision, self.content)
 
     @classmethod
-    def restore(cls, held: DocumentSnapshot) -> "DocumentState":
-        """Return the state that a snapshot holds."""
-        if not held.content:
+    def restore(cls, snapshot: DocumentSnapshot) -> "DocumentState":
+        """Restore the state from a snapshot."""
+        if not snapshot.content:
             return cls()
-        return cls(held.revision, held.content, unpack(held.content))
+        return cls(snapshot.revision, snapshot.content, unpack(snapshot.content))
 
 
 def _changes(
     before: Document, after: Document, tree: SettingsTree, revision: int, author: str
 ) -> Iterator[SettingsChange]:
-    """Return the changes of nodes, parents before children, deletions last."""
+    """Yield the changes of nodes: parents before children, deletions last."""
     known = {node.path: node for node in tree.nodes()}
     change_id = f"document-{revision}"
     for path in sorted(after.nodes):
--- a/packages/control/src/dogwoodspool_control/settings/state.py
+++ b/packages/control/src/dogwoodspool_control/settings/state.py
@@ -1,4 +1,4 @@
-"""The settings tree in the replicated state, with what its history still binds."""
+"""The settings tree of the replicated state and the effects of earlier settings."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsSnapshot:
-    """What a snapshot holds of the settings.
+    """The settings in the form kept in a snapshot.
 
     Attributes:
         index: log index of the last accepted change.
@@ -38,22 +38,23 @@
 
 
 class SettingsState:
-    """Apply changes of settings and remember what outlives them.
+    """Apply changes of settings and track what earlier settings left behind.
 
-    A shorter lease or a stricter acknowledgement is in force at once for what
-    comes after, but grants of the longer lease still run and writes acknowledged
-    by the primary alone still lack a replica. Both are remembered until the
-    leader has seen them end.
+    A shorter lease or a stricter acknowledgement applies at once to later grants
+    and writes, but grants with the longer lease are still valid and writes that
+    only the primary acknowledged may not be on a replica yet. Both are tracked
+    until the leader has confirmed that the grants have expired and that the writes
+    are replicated.
     """
 
     def __init__(self, snapshot: SettingsSnapshot | None = None) -> None:
-        held = snapshot or SettingsSnapshot()
+        restored = snapshot or SettingsSnapshot()
         self._tree = SettingsTree()
-        if held.tree:
-            self._tree.restore(held.tree)
-        self._index = held.index
-        self._unsettled = set(held.unsettled_groups)
-        self._lease_bound_ms = max(held.lease_bound_ms, self._current_bound_ms())
+        if restored.tree:
+            self._tree.restore(restored.tree)
+        self._index = restored.index
+        self._unsettled = set(restored.unsettled_groups)
+        self._lease_bound_ms = max(restored.lease_bound_ms, self._current_bound_ms())
 
     @property
     def tree(self) -> SettingsTree:
@@ -62,7 +63,7 @@
 
     @property
     def root(self) -> EffectiveSettings:
-        """The values in force at the root."""
+        """The effective values at the root."""
         return self._tree.effective(None, None)
 
     @property
@@ -72,37 +73,37 @@
 
     @property
     def lease_bound_ms(self) -> int:
-        """Longest time that a lease of any leader may still run, with drift."""
+        """Longest time that any leader's lease may be valid, with clock drift."""
         return self._lease_bound_ms
 
     @property
     def is_lease_bound_lowerable(self) -> bool:
-        """Whether the bound comes from settings that are no longer in force."""
+        """Whether the bound comes from settings that have been replaced."""
         return self._lease_bound_ms > self._current_bound_ms()
 
     @property
     def unsettled_groups(self) -> tuple[str, ...]:
-        """Groups with acknowledged writes that may be at the primary alone."""
+        """Groups with acknowledged writes that may be on the primary only."""
         return tuple(sorted(self._unsettled))
 
     def effective(
         self, group: str | None, failure_domain: str | None = None
     ) -> EffectiveSettings:
-        """Return the values in force for a group in a failure domain."""
+        """Return the effective values for a group in a failure domain."""
         return self._tree.effective(group, failure_domain)
 
     def is_settled(self, group: str) -> bool:
-        """Tell whether each acknowledged write of the group is on a replica."""
-        return self.is_strict(group) and group not in self._unsettled
+        """Return whether each acknowledged write of the group is on a replica."""
+        return self.requires_replica_ack(group) and group not in self._unsettled
 
-    def is_strict(self, group: str) -> bool:
-        """Tell whether a replica must have a write before it is acknowledged."""
+    def requires_replica_ack(self, group: str) -> bool:
+        """Return whether a write must be on a replica before it is acknowledged."""
         return self.effective(group).write_ack is not WriteAck.PRIMARY
 
     def change(
         self, index: int, command: ChangeSettings, groups: Mapping[str, object]
     ) -> Outcome:
-        """Decide one change of the tree."""
+        """Apply or reject one change of the tree."""
         change = SettingsChange(
             change_id=command.change_id,
             path=command.path,
@@ -111,42 +112,42 @@
             author=command.author,
         )
         version_before = self._tree.version
-        self.note_write_acks(groups)
+        self.record_unsettled_groups(groups)
         answer = self._tree.apply(change, index)
         if self._tree.version != version_before:
             self._index = index
-            self.note_write_acks(groups)
+            self.record_unsettled_groups(groups)
             self._lease_bound_ms = max(self._lease_bound_ms, self._current_bound_ms())
         return _outcome(answer)
 
-    def note_document(self, index: int, groups: Mapping[str, object]) -> None:
-        """Note that a document changed the tree."""
+    def record_document_change(self, index: int, groups: Mapping[str, object]) -> None:
+        """Record that a document changed the tree."""
         self._index = index
-        self.note_write_acks(groups)
+        self.record_unsettled_groups(groups)
         self._lease_bound_ms = max(self._lease_bound_ms, self._current_bound_ms())
 
     def lower_lease_bound(self, command: LowerLeaseBound) -> Outcome:
-        """Take over the present lease as the bound."""
+        """Set the bound to the lease of the current settings."""
         if command.settings_index != self._index:
-            return Outcome(False, CODE_CONFLICT, "the settings have changed")
+            return Outcome(False, CODE_CONFLICT, "settings changed in the meantime")
         self._lease_bound_ms = self._current_bound_ms()
         return Outcome(True)
 
     def settle_write_acks(self, command: SettleWriteAcks) -> Outcome:
-        """Trust from now on that each acknowledged write is on a replica."""
+        """Record that each acknowledged write of a group is on a replica."""
         if command.settings_index != self._index:
-            return Outcome(False, CODE_CONFLICT, "the settings have changed")
+            return Outcome(False, CODE_CONFLICT, "settings changed in the meantime")
         self._unsettled.discard(command.group)
         return Outcome(True)
 
-    def note_write_acks(self, groups: Mapping[str, object]) -> None:
-        """Remember groups whose writes the primary alone may acknowledge."""
+    def record_unsettled_groups(self, groups: Mapping[str, object]) -> None:
+        """Record the groups whose writes the primary alone may acknowledge."""
         for group in groups:
             if self.effective(group).write_ack is WriteAck.PRIMARY:
                 self._unsettled.add(group)
 
     def snapshot(self) -> SettingsSnapshot:
-        """Return what a snapshot holds."""
+        """Return the snapshot of this state."""
         return SettingsSnapshot(
             self._tree.snapshot(),
             self._index,
--- a/packages/control/src/dogwoodspool_control/settings/view_log.py
+++ b/packages/control/src/dogwoodspool_control/settings/view_log.py
@@ -1,4 +1,4 @@
-"""Views of the committed state, whole or as differences from an earlier one."""
+"""Views of the committed state, complete or as a delta from an earlier version."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewItems:
-    """All that proxies follow, by kind and then by name or path."""
+    """The items that proxies follow, by kind and then by name or path."""
 
     groups: Mapping[str, GroupState] = field(default_factory=dict)
     servers: Mapping[str, BackendServer] = field(default_factory=dict)
@@ -44,49 +44,50 @@
 
 
 class ViewLog:
-    """Answer what has changed since a version.
+    """Build the delta between an earlier version of the state and the current one.
 
-    Proxies follow the state for days, and each change is small beside the whole:
-    with 350 endpoints a whole view has 60 KB and the change of one 0.3 KB. Who
-    is further behind than the log remembers gets the whole view.
+    Proxies follow the state for days, and each change is small compared with the
+    complete view: with 350 endpoints a complete view takes 60 KB and the change of
+    one endpoint 0.3 KB. A proxy whose version is older than the retained changes
+    gets the complete view.
     """
 
     def __init__(self) -> None:
         self._items = ViewItems()
         self._changes: deque[tuple[int, frozenset[ItemKey]]] = deque()
-        self._first_base = 0
-        self._whole: ControlView | None = None
+        self._oldest_base = 0
+        self._complete_view: ControlView | None = None
 
-    def start_over(self, version: int, items: ViewItems) -> None:
-        """Begin at a version without knowing what came before it."""
+    def reset(self, version: int, items: ViewItems) -> None:
+        """Start at a version and discard the changes before it."""
         self._changes.clear()
-        self._first_base = version
+        self._oldest_base = version
         self._items = items
-        self._whole = None
+        self._complete_view = None
 
-    def note(self, version: int, items: ViewItems) -> None:
-        """Take in the state after a change."""
-        changed = frozenset(_differences(self._items, items))
+    def record(self, version: int, items: ViewItems) -> None:
+        """Record the state after a change."""
+        changed = frozenset(_changed_keys(self._items, items))
         self._changes.append((version, changed))
         if len(self._changes) > MAX_VIEW_CHANGES:
-            self._first_base = self._changes.popleft()[0]
+            self._oldest_base = self._changes.popleft()[0]
         self._items = items
-        self._whole = None
+        self._complete_view = None
 
     def view(self, version: int) -> ControlView:
-        """Return the whole view."""
-        if self._whole is None:
+        """Return the complete view."""
+        if self._complete_view is None:
             keys = {
                 (kind, name)
                 for kind, items in self._items.by_kind().items()
                 for name in items
             }
-            self._whole = self._build(version, keys, 0)
-        return self._whole
+            self._complete_view = self._build(version, keys, 0)
+        return self._complete_view
 
     def view_since(self, base: int, version: int) -> ControlView:
-        """Return what differs from the view of version ``base``."""
-        if base <= 0 or base < self._first_base:
+        """Return the delta from the view of version ``base``, or the complete view."""
+        if base <= 0 or base < self._oldest_base:
             return self.view(version)
         keys: set[ItemKey] = set()
         for changed_at, changed in reversed(self._changes):
@@ -112,12 +113,14 @@
             servers=[ServerMessage.of(server) for server in present["servers"]],
             proxies=[_proxy_message(record) for record in present["proxies"]],
             settings=present["settings"],
-            endpoints=[EndpointMessage.of(one) for one in present["endpoints"]],
+            endpoints=[
+                EndpointMessage.of(endpoint) for endpoint in present["endpoints"]
+            ],
             removed=RemovedItems(**removed),
         )
 
 
-def _differences(before: ViewItems, after: ViewItems) -> set[ItemKey]:
+def _changed_keys(before: ViewItems, after: ViewItems) -> set[ItemKey]:
     keys: set[ItemKey] = set()
     old, new = before.by_kind(), after.by_kind()
     for kind, items in new.items():
--- a/packages/control/src/dogwoodspool_control/state.py
+++ b/packages/control/src/dogwoodspool_control/state.py
@@ -75,7 +75,7 @@
         self._settings = SettingsState()
         self._document = DocumentState()
         self._views = ViewLog()
-        self._views.start_over(0, self._view_items())
+        self._views.reset(0, self._view_items())
         self._listeners: list[Callable[[], None]] = []
 
     @property
@@ -207,7 +207,7 @@
                 outcome = Outcome(False, error.code, str(error))
             if outcome.is_accepted and outcome.index == index:
                 self._version = index
-                self._views.note(index, self._view_items())
+                self._views.record(index, self._view_items())
                 self._note_change()
             return encode_outcome(outcome)
 
@@ -242,7 +242,7 @@
             self._settings = SettingsState(held.settings)
             self._document = DocumentState.restore(held.document)
             self._version = held.version
-            self._views.start_over(held.version, self._view_items())
+            self._views.reset(held.version, self._view_items())
             self._note_change()
 
     def _note_change(self) -> None:
@@ -286,7 +286,7 @@
             return Outcome(False, CODE_INVALID, applied.error.message)
         if not applied.ok:
             return Outcome(True, version=self._document.revision)
-        self._settings.note_document(index, self._groups.groups)
+        self._settings.record_document_change(index, self._groups.groups)
         return Outcome(True, index=index, version=command.revision)
 
     def _issue_token(self, index: int, command: IssueToken) -> Outcome:
@@ -306,7 +306,7 @@
         match command:
             case BootstrapGroup():
                 outcome = self._groups.bootstrap(index, command)
-                self._settings.note_write_acks(self._groups.groups)
+                self._settings.record_unsettled_groups(self._groups.groups)
                 return outcome
             case BeginPromotion():
                 return self._groups.begin(index, command, self._servers.servers)
--- a/tests/control/settings/test_views.py
+++ b/tests/control/settings/test_views.py
@@ -1,4 +1,4 @@
-"""Tests of views as differences, and of documents in the committed state."""
+"""Tests of view deltas and of documents in the committed state."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 def server(name: str, *, is_leaving: bool = False) -> BackendServer:
-    """Return a server."""
+    """Return a backend server."""
     address = Address("10.0.0.1", 1)
     return BackendServer(name, "chat", "fd1", address, 3, 20, is_leaving)
 
@@ -59,7 +59,7 @@
 
 
 class Voter:
-    """A state to which commands are applied."""
+    """A voter that applies commands to its replicated state."""
 
     def __init__(self) -> None:
         self.state = ControlState(ManualClock())
@@ -71,12 +71,12 @@
         return Outcome(**answer)
 
 
-class ViewDifferenceTests(unittest.TestCase):
-    """A proxy that takes differences holds what one that takes all holds."""
+class ViewDeltaTests(unittest.TestCase):
+    """A proxy that follows deltas has the same view as one that fetches all of it."""
 
     @given(commands=st.lists(COMMANDS, max_size=20), stride=st.integers(1, 4))
     @settings(max_examples=120, deadline=None, derandomize=True)
-    def test_differences_add_up_to_the_whole(
+    def test_deltas_add_up_to_the_complete_view(
         self, commands: list[Command], stride: int
     ) -> None:
         voter = Voter()
@@ -86,22 +86,22 @@
             if number % stride == 0:
                 follower.adopt(voter.state.view_since(follower.view.version))
         follower.adopt(voter.state.view_since(follower.view.version))
-        whole = ProxyView.of(voter.state.view())
+        complete = ProxyView.of(voter.state.view())
         for part in ("version", "groups", "servers", "endpoints", "databases"):
-            self.assertEqual(getattr(follower.view, part), getattr(whole, part))
-        self.assertEqual(follower.view.tree.nodes(), whole.tree.nodes())
+            self.assertEqual(getattr(follower.view, part), getattr(complete, part))
+        self.assertEqual(follower.view.tree.nodes(), complete.tree.nodes())
 
-    def test_a_change_of_one_endpoint_is_small(self) -> None:
+    def test_delta_of_one_endpoint_is_small(self) -> None:
         voter = Voter()
         names = [f"db{number}" for number in range(350)]
         voter.apply(ApplyDocument(1, document(*names), "ana"))
         base = voter.state.version
         voter.apply(ApplyDocument(2, document(*names, "one-more"), "ana"))
-        whole = len(voter.state.view().model_dump_json())
+        complete = len(voter.state.view().model_dump_json())
         change = len(voter.state.view_since(base).model_dump_json())
-        self.assertLess(change * 50, whole)
+        self.assertLess(change * 50, complete)
 
-    def test_differences_from_another_version_are_left(self) -> None:
+    def test_delta_from_another_base_version_is_rejected(self) -> None:
         voter = Voter()
         voter.apply(RecordServer(server("s1")))
         voter.apply(RecordServer(server("s2")))
@@ -109,7 +109,7 @@
         self.assertFalse(follower.adopt(voter.state.view_since(1)))
         self.assertTrue(follower.adopt(voter.state.view()))
 
-    def test_a_restored_voter_gives_the_whole_view(self) -> None:
+    def test_restored_voter_returns_the_complete_view(self) -> None:
         voter = Voter()
         voter.apply(RecordServer(server("s1")))
         restored = ControlState(ManualClock())
@@ -119,9 +119,9 @@
 
 
 class DocumentCommandTests(unittest.TestCase):
-    """Documents come into force in the order of their revisions."""
+    """Documents are applied in the order of their revisions."""
 
-    def test_an_older_one_is_accepted_and_changes_nothing(self) -> None:
+    def test_older_revision_is_accepted_and_changes_nothing(self) -> None:
         voter = Voter()
         voter.apply(ApplyDocument(5, document("a"), "ana"))
         version = voter.state.version
@@ -130,7 +130,7 @@
         self.assertEqual(voter.state.version, version)
         self.assertEqual(voter.state.document.revision, 5)
 
-    def test_one_that_the_tree_refuses_changes_nothing(self) -> None:
+    def test_document_rejected_by_the_tree_changes_nothing(self) -> None:
         voter = Voter()
         bad = pack(Document({"/": {"lease_ms": -1}, "/chat": {}}, (), ""))
         outcome = voter.apply(ApplyDocument(1, bad, "ana"))
@@ -138,14 +138,14 @@
         self.assertEqual(voter.state.version, 0)
         self.assertEqual(len(voter.state.settings_nodes()), 1)
 
-    def test_it_shows_in_the_history_like_any_change(self) -> None:
+    def test_document_changes_appear_in_the_history(self) -> None:
         voter = Voter()
         voter.apply(ApplyDocument(1, document("a"), "ana"))
         entries = voter.state.settings_history(10, None)
         self.assertEqual({entry.author for entry in entries}, {"ana"})
         self.assertEqual({entry.path for entry in entries}, {"/", "/chat"})
 
-    def test_tokens_grow_whoever_asks(self) -> None:
+    def test_tokens_increase_across_holders(self) -> None:
         voter = Voter()
         voter.apply(BootstrapGroup("chat", 1, "s1"))
         tokens = [
