--- a/features/mutations/guards/membership.py
+++ b/features/mutations/guards/membership.py
@@ -27,7 +27,7 @@
     """Keep what a server announced first."""
     from dogwoodspool_control.membership.membership import Membership
 
-    Membership._has_ended = lambda _self, _known: False
+    Membership._is_outdated = lambda _self, _known: False
 
 
 def silent_servers_kept() -> None:
--- a/packages/control/src/dogwoodspool_control/const.py
+++ b/packages/control/src/dogwoodspool_control/const.py
@@ -33,9 +33,9 @@
 MAX_REPLACED_INCARNATIONS: Final = 16
 MAX_CHANGE_IDS: Final = 256
 
-SERVER_HOLD_SECONDS: Final = 1.0
-SERVER_SILENCE_SECONDS: Final = 30.0
-SILENCE_MARK_SECONDS: Final = 2.0
+OUTDATED_RECORD_SECONDS: Final = 1.0
+SERVER_REMOVAL_SECONDS: Final = 30.0
+SERVER_SILENT_SECONDS: Final = 2.0
 MAX_SERVERS: Final = 1_024
 # Ended backend servers that are remembered: days of replacements in a small system.
 MAX_ENDED_SERVERS: Final = 1_024
--- a/packages/control/src/dogwoodspool_control/grants/release.py
+++ b/packages/control/src/dogwoodspool_control/grants/release.py
@@ -131,7 +131,7 @@
         }
         predecessor_expiry = self._table.predecessor_expiry
         if now < predecessor_expiry:
-            if not self._ages.are_complete(self._table.longest_lease):
+            if not self._ages.are_removed_proxies_expired(self._table.longest_lease):
                 waiting[REMOVED_PROXIES] = predecessor_expiry
             for name, proxy in proxies.items():
                 if not self._has_released(proxy):
@@ -142,7 +142,9 @@
     def _has_released(self, proxy: ProxyRecord) -> bool:
         if (proxy.name, proxy.incarnation) not in self._answered:
             return False
-        return self._ages.is_alone(proxy, self._table.longest_lease)
+        return self._ages.are_replaced_processes_expired(
+            proxy, self._table.longest_lease
+        )
 
     def _call(self, proxy: ProxyRecord) -> None:
         try:
--- a/packages/control/src/dogwoodspool_control/leader.py
+++ b/packages/control/src/dogwoodspool_control/leader.py
@@ -8,8 +8,8 @@
 from .const import TICK_SECONDS
 from .membership.departures import Departures
 from .membership.incarnations import IncarnationAges
+from .membership.maintenance import AckAudit, LeaseBoundMaintenance
 from .membership.membership import Membership
-from .membership.upkeep import AckAudit, LeaseBoundUpkeep
 from .models import PromotionReason
 from .node import ControlNode
 from .promotion.detector import DetectorSettings, FailureDetector
@@ -74,7 +74,7 @@
         queue: CommandQueue,
         promotions: Promotions,
         reconciler: Reconciler,
-        lease_bound: LeaseBoundUpkeep,
+        lease_bound: LeaseBoundMaintenance,
         ack_audit: AckAudit,
         timeline: FailoverTimeline,
     ) -> None:
@@ -123,7 +123,7 @@
         )
         self._promotions.run_missing()
         self._reconciler.run()
-        self._do_upkeep()
+        self._run_maintenance()
 
     def _begin_promotion(self, group: GroupState) -> None:
         self._timeline.begin(group.name, PromotionReason.FAILED)
@@ -131,7 +131,7 @@
             BeginPromotion(group.name, group.term, PromotionReason.FAILED)
         )
 
-    def _do_upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         lower = self._lease_bound.due_command()
         if lower is not None:
             self._queue.offer(lower)
--- a/packages/control/src/dogwoodspool_control/membership/__init__.py
+++ b/packages/control/src/dogwoodspool_control/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The proxies and backend servers that control knows."""
+"""Registered proxies and recorded backend servers."""
--- a/packages/control/src/dogwoodspool_control/membership/departures.py
+++ b/packages/control/src/dogwoodspool_control/membership/departures.py
@@ -1,4 +1,4 @@
-"""Move the primary away from a backend server that leaves."""
+"""Planned promotions for primaries that announce that they leave."""
 
 from collections.abc import Iterator
 
@@ -11,33 +11,36 @@
 
 
 class Departures:
-    """Begin a planned promotion where the primary announces that it leaves.
+    """Begin a planned promotion in groups whose primary announces that it leaves.
 
-    A leaving server gets no new work after a few seconds. Replicas are simply
-    passed over by the proxies; writes need another primary. Where no promotion
-    succeeds, because no replica can take over, it is tried again after a pause:
-    each try stops writes for a moment.
+    A leaving server gets no new work after a few seconds. Proxies skip leaving
+    replicas, but writes need another primary. A promotion that fails because no
+    replica can take over is retried only after a pause, because each attempt stops
+    writes for a moment.
     """
 
     def __init__(self, clock: Clock, state: ControlState) -> None:
         self._clock = clock
         self._state = state
-        self._tried_at: dict[str, float] = {}
+        self._attempted_at: dict[str, float] = {}
 
     def due_commands(self) -> Iterator[BeginPromotion]:
-        """Return the promotions that should begin now."""
+        """Yield the promotions that are due."""
         now = self._clock.now()
         for group in self._state.groups.values():
-            if not self._must_move(group):
+            if not self._needs_switchover(group):
                 continue
-            tried_at = self._tried_at.get(group.name)
-            if tried_at is not None and now - tried_at < DEPARTURE_RETRY_SECONDS:
+            attempted_at = self._attempted_at.get(group.name)
+            if (
+                attempted_at is not None
+                and now - attempted_at < DEPARTURE_RETRY_SECONDS
+            ):
                 continue
-            self._tried_at[group.name] = now
+            self._attempted_at[group.name] = now
             log_event("primary_leaves", group=group.name, server=group.primary)
             yield BeginPromotion(group.name, group.term, PromotionReason.PLANNED)
 
-    def _must_move(self, group: GroupState) -> bool:
+    def _needs_switchover(self, group: GroupState) -> bool:
         if group.phase is not Phase.STEADY or group.primary is None:
             return False
         servers = self._state.servers
--- a/packages/control/src/dogwoodspool_control/membership/instances.py
+++ b/packages/control/src/dogwoodspool_control/membership/instances.py
@@ -1,4 +1,4 @@
-"""Registered proxies and announced backend servers as the log's entries change them."""
+"""Registered proxies and recorded backend servers of the replicated state."""
 
 from collections.abc import Mapping
 
@@ -18,9 +18,9 @@
 class ProxyTable:
     """Registered proxies by name.
 
-    A registration is durable: it stands for base shares of connections that the
-    proxy may use while it is cut off, so the table has a bound and nobody drops
-    out of it by silence.
+    A registration is durable: it reserves base shares of connections that the proxy
+    may use while it is cut off. The table is therefore bounded, and a proxy is not
+    removed because nothing is heard from it.
     """
 
     def __init__(self, proxies: Mapping[str, ProxyRecord]) -> None:
@@ -32,13 +32,17 @@
         return self._proxies
 
     def register(self, index: int, command: RegisterProxy, max_proxies: int) -> Outcome:
-        """Add a proxy or take over what its new process says."""
+        """Add a proxy or update it from its new process."""
         if command.name not in self._proxies and len(self._proxies) >= max_proxies:
-            return Outcome(False, CODE_FULL, f"{max_proxies} proxies are registered")
+            message = f"the limit of {max_proxies} registered proxies is reached"
+            return Outcome(False, CODE_FULL, message)
         known = self._proxies.get(command.name)
-        replaced = () if known is None else _replaced(known, command.incarnation)
+        replaced = (
+            () if known is None else _replaced_incarnations(known, command.incarnation)
+        )
         if command.incarnation in replaced:
-            return Outcome(False, CODE_CONFLICT, f"{command.name} is replaced")
+            message = f"{command.name}: process {command.incarnation} was replaced"
+            return Outcome(False, CODE_CONFLICT, message)
         self._proxies[command.name] = ProxyRecord(
             command.name,
             command.incarnation,
@@ -51,15 +55,15 @@
     def forget(self, index: int, command: ForgetProxy) -> Outcome:
         """Remove a proxy."""
         if self._proxies.pop(command.name, None) is None:
-            return Outcome(False, CODE_INVALID, f"no proxy {command.name}")
+            return Outcome(False, CODE_INVALID, f"unknown proxy {command.name}")
         return Outcome(True, index=index)
 
 
 class ServerTable:
-    """Backend servers by name, as they last announced themselves.
+    """Backend servers by name, with their latest announced properties.
 
-    Processes that have ended are remembered for a while: a word of theirs that was
-    held up by a partition would else record them again.
+    Incarnations that have ended are kept for a while: an announcement delayed by a
+    network partition would otherwise record such a process again.
     """
 
     def __init__(
@@ -72,16 +76,16 @@
 
     @property
     def ended(self) -> Mapping[str, int]:
-        """The newest incarnation that has ended, by server."""
+        """The latest incarnation that has ended, by server."""
         return self._ended
 
     @property
     def servers(self) -> Mapping[str, BackendServer]:
-        """All known backend servers by name."""
+        """All recorded backend servers by name."""
         return self._servers
 
     def record(self, index: int, command: RecordServer) -> Outcome:
-        """Add or change a server."""
+        """Add or update a server."""
         known = self._servers.get(command.server.name)
         if known == command.server:
             return Outcome(True, index=0)
@@ -90,7 +94,7 @@
             message = f"this process of {command.server.name} has ended"
             return Outcome(False, CODE_CONFLICT, message)
         if known is not None and known.group != command.server.group:
-            message = f"{known.name} belongs to {known.group}"
+            message = f"{known.name} belongs to group {known.group}"
             return Outcome(False, CODE_CONFLICT, message)
         self._servers[command.server.name] = command.server
         return Outcome(True, index=index)
@@ -101,24 +105,25 @@
         """Remove a server that its group does not need."""
         known = self._servers.get(command.name)
         if known is None:
-            return Outcome(False, CODE_INVALID, f"no server {command.name}")
+            return Outcome(False, CODE_INVALID, f"unknown server {command.name}")
         group = groups.get(known.group)
         if group is not None and group.primary in (None, command.name):
-            # Without a chosen primary each server may be the one that has all
-            # acknowledged writes; a promotion must go on asking it.
-            return Outcome(False, CODE_CONFLICT, f"{known.group} needs {known.name}")
+            # Until a primary is chosen, any server may be the only one with all
+            # acknowledged writes, so the promotion must keep querying it.
+            message = f"group {known.group} needs {known.name}"
+            return Outcome(False, CODE_CONFLICT, message)
         del self._servers[command.name]
-        self._remember(known)
+        self._record_ended(known)
         return Outcome(True, index=index)
 
-    def _remember(self, server: BackendServer) -> None:
+    def _record_ended(self, server: BackendServer) -> None:
         self._ended.pop(server.name, None)
         self._ended[server.name] = server.incarnation
         while len(self._ended) > MAX_ENDED_SERVERS:
             del self._ended[next(iter(self._ended))]
 
 
-def _replaced(known: ProxyRecord, incarnation: str) -> tuple[str, ...]:
+def _replaced_incarnations(known: ProxyRecord, incarnation: str) -> tuple[str, ...]:
     if known.incarnation == incarnation:
         return known.replaced
     return (*known.replaced, known.incarnation)[-MAX_REPLACED_INCARNATIONS:]
--- a/packages/control/src/dogwoodspool_control/membership/upkeep.py
+++ b/packages/control/src/dogwoodspool_control/membership/maintenance.py
@@ -1,4 +1,4 @@
-"""Let go of what earlier settings still bind, once it has ended."""
+"""Maintenance of the restrictions that earlier settings left behind."""
 
 from collections.abc import Callable
 
@@ -15,39 +15,42 @@
 from ..state import ControlState
 
 
-class LeaseBoundUpkeep:
-    """Lower the bound of leases after a longer lease went out of use."""
+class LeaseBoundMaintenance:
+    """Lower the lease bound after the configured lease was shortened."""
 
     def __init__(self, clock: Clock, state: ControlState, table: GrantTable) -> None:
         self._clock = clock
         self._state = state
         self._table = table
-        self._seen: tuple[int, float] | None = None
+        self._lowerable_since: tuple[int, float] | None = None
 
     def due_command(self) -> Command | None:
-        """Return the command once every longer lease has run out.
+        """Return the command once every longer lease has expired.
 
-        This leader has then given shorter leases only, for longer than the
-        bound, and the leases of its predecessors have run out too.
+        By then this leader has issued only shorter leases for longer than the bound,
+        and the leases issued by earlier leaders have expired as well.
         """
         settings = self._state.settings
         if not settings.is_lease_bound_lowerable:
-            self._seen = None
+            self._lowerable_since = None
             return None
         now = self._clock.now()
-        if self._seen is None or self._seen[0] != settings.index:
-            self._seen = (settings.index, now)
-        has_waited = now - self._seen[1] > settings.lease_bound_ms / MILLISECONDS
+        if self._lowerable_since is None or self._lowerable_since[0] != settings.index:
+            self._lowerable_since = (settings.index, now)
+        has_waited = (
+            now - self._lowerable_since[1] > settings.lease_bound_ms / MILLISECONDS
+        )
         if not has_waited or now < self._table.predecessor_expiry:
             return None
         return LowerLeaseBound(settings.index)
 
 
 class AckAudit:
-    """Bound what proxies acknowledged without a replica by the primary's position.
+    """Bound the writes acknowledged without a replica by the primary's position.
 
-    Only for groups whose primary acknowledges alone, or did so until a change of
-    settings: the primary is asked once per ``AUDIT_SECONDS``.
+    This applies only to groups in which the primary acknowledges writes alone, or
+    did so until the settings changed. Their primary is queried once per
+    ``AUDIT_SECONDS``.
     """
 
     def __init__(
@@ -66,25 +69,25 @@
         self._sightings = sightings
         self._role_changers = role_changers
         self._submit = submit
-        self._asked_at: dict[str, float] = {}
+        self._queried_at: dict[str, float] = {}
         self._followed_since: dict[str, tuple[int, float]] = {}
 
     def run(self) -> None:
-        """Ask the primaries that are due; answers are taken in the executor."""
+        """Query the primaries that are due, in the executor."""
         now = self._clock.now()
         for name in self._state.settings.unsettled_groups:
             group = self._state.group(name)
             if group is None or group.phase is not Phase.STEADY:
                 continue
-            if now - self._asked_at.get(name, NEVER) < AUDIT_SECONDS:
+            if now - self._queried_at.get(name, NEVER) < AUDIT_SECONDS:
                 continue
             server = self._state.servers.get(group.primary or "")
             if server is not None:
-                self._asked_at[name] = now
-                self._submit(self._asking(group, server))
+                self._queried_at[name] = now
+                self._submit(self._primary_query(group, server))
 
     def due_commands(self) -> list[Command]:
-        """Return the commands for groups whose writes are all replicated."""
+        """Return the commands for groups whose acknowledged writes are replicated."""
         settings = self._state.settings
         return [
             SettleWriteAcks(name, settings.index)
@@ -93,22 +96,24 @@
             and self._is_replicated(name, settings.index)
         ]
 
-    def _asking(self, group: GroupState, server: BackendServer) -> Callable[[], None]:
-        return lambda: self._ask(group, server)
+    def _primary_query(
+        self, group: GroupState, server: BackendServer
+    ) -> Callable[[], None]:
+        return lambda: self._query_primary(group, server)
 
-    def _ask(self, group: GroupState, server: BackendServer) -> None:
-        asked_at = self._clock.now()
+    def _query_primary(self, group: GroupState, server: BackendServer) -> None:
+        queried_at = self._clock.now()
         try:
             status = self._role_changers.of_group(group.name).status(server)
         except BackendError:
             return
         if status.role is Role.PRIMARY and status.position.term == group.term:
-            self._table.note_primary(group.name, status.position, asked_at)
+            self._table.note_primary(group.name, status.position, queried_at)
 
     def _is_replicated(self, name: str, settings_index: int) -> bool:
-        """Tell whether one replica holds all that was acknowledged without one."""
+        """Return whether one replica has all writes acknowledged without a replica."""
         group = self._state.group(name)
-        if group is None or not self._is_in_force(name, settings_index):
+        if group is None or not self._is_strict_everywhere(name, settings_index):
             return False
         acks = self._table.knowledge(name)
         sightings = self._sightings.all
@@ -122,11 +127,11 @@
             for server in self._state.servers_of(name)
         )
 
-    def _is_in_force(self, name: str, settings_index: int) -> bool:
-        """Tell whether no write is acknowledged by the primary alone any more.
+    def _is_strict_everywhere(self, name: str, settings_index: int) -> bool:
+        """Return whether the primary alone no longer acknowledges any write.
 
-        Every proxy must follow the stricter setting, and for so long that a
-        write which began before has ended and was reported.
+        Every proxy must have followed the stricter setting for long enough that
+        each write begun before it has ended and was reported.
         """
         if not self._table.all_follow(settings_index):
             self._followed_since.pop(name, None)
@@ -137,6 +142,6 @@
             since = now
         self._followed_since[name] = (settings_index, since)
         settings = self._state.settings.effective(name)
-        longest = settings.max_transaction_ms + settings.deadline_ms
-        report = FRESH_RENEW_INTERVALS * settings.renew_interval_ms
-        return now - since > (longest + report) / MILLISECONDS
+        longest_write = settings.max_transaction_ms + settings.deadline_ms
+        report_delay = FRESH_RENEW_INTERVALS * settings.renew_interval_ms
+        return now - since > (longest_write + report_delay) / MILLISECONDS
--- a/packages/control/src/dogwoodspool_control/membership/membership.py
+++ b/packages/control/src/dogwoodspool_control/membership/membership.py
@@ -1,4 +1,4 @@
-"""Which announced backend servers to record, change or remove."""
+"""Recording, update and removal of announced backend servers."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -9,25 +9,25 @@
 from ..commands import BootstrapGroup, Command, RecordServer, RemoveServer
 from ..const import (
     FRESH_RENEW_INTERVALS,
-    SERVER_HOLD_SECONDS,
-    SERVER_SILENCE_SECONDS,
-    SILENCE_MARK_SECONDS,
+    OUTDATED_RECORD_SECONDS,
+    SERVER_REMOVAL_SECONDS,
+    SERVER_SILENT_SECONDS,
 )
 from ..promotion.sightings import Sighting, Sightings
 from ..state import ControlState
 
 
 class Membership:
-    """Turn sightings of backend servers into commands."""
+    """Derive commands from observations of backend servers."""
 
     def __init__(self, clock: Clock, state: ControlState, sightings: Sightings) -> None:
         self._clock = clock
         self._state = state
         self._sightings = sightings
-        self._silence_marks: dict[str, tuple[float, Position]] = {}
+        self._silence_positions: dict[str, tuple[float, Position]] = {}
 
     def due_commands(self) -> list[Command]:
-        """Return what differs from the committed state for long enough."""
+        """Return the commands for differences that have lasted long enough."""
         commands: list[Command] = []
         for sighting in self._sightings.all.values():
             if sighting.announced is not None:
@@ -43,21 +43,22 @@
             yield RecordServer(announced)
         elif announced.is_leaving and not known.is_leaving:
             yield RecordServer(replace(known, is_leaving=True))
-        elif announced != known and self._has_ended(known):
+        elif announced != known and self._is_outdated(known):
             yield RecordServer(announced)
         is_first = self._state.group(announced.group) is None
         if sighting.role is Role.PRIMARY and is_first:
             term = sighting.position.term
             yield BootstrapGroup(announced.group, term, announced.name)
 
-    def _has_ended(self, known: BackendServer) -> bool:
-        """Tell whether nobody announces the recorded properties any more.
+    def _is_outdated(self, known: BackendServer) -> bool:
+        """Return whether the recorded properties are no longer announced.
 
-        Proxies repeat what they heard some seconds ago. Without this wait an old
-        and a new announcement in turn would change the record back and forth.
+        Proxies repeat announcements that they received some seconds ago. Without
+        this delay, old and new announcements that arrive alternately would change
+        the record back and forth.
         """
         announced_at = self._sightings.announced_at(known)
-        return self._clock.now() - announced_at >= SERVER_HOLD_SECONDS
+        return self._clock.now() - announced_at >= OUTDATED_RECORD_SECONDS
 
     def _due_removals(self) -> Iterator[Command]:
         now = self._clock.now()
@@ -66,18 +67,18 @@
             sighting = sightings.get(server.name)
             started_at = self._sightings.started_at
             heard_at = started_at if sighting is None else sighting.heard_at
-            if now - heard_at < SILENCE_MARK_SECONDS:
-                self._silence_marks.pop(server.name, None)
+            if now - heard_at < SERVER_SILENT_SECONDS:
+                self._silence_positions.pop(server.name, None)
                 continue
-            self._mark_silence(server, heard_at)
-            is_silent = now - heard_at >= SERVER_SILENCE_SECONDS
+            self._record_silence(server, heard_at)
+            is_silent = now - heard_at >= SERVER_REMOVAL_SECONDS
             if is_silent and self._is_removable(server, heard_at):
                 yield RemoveServer(server.name)
 
-    def _mark_silence(self, server: BackendServer, heard_at: float) -> None:
-        """Remember how far the primary was when the server had fallen silent."""
-        marked = self._silence_marks.get(server.name)
-        if marked is not None and marked[0] == heard_at:
+    def _record_silence(self, server: BackendServer, heard_at: float) -> None:
+        """Record the primary's position once the server has become silent."""
+        recorded = self._silence_positions.get(server.name)
+        if recorded is not None and recorded[0] == heard_at:
             return
         group = self._state.group(server.group)
         if group is None or group.primary is None:
@@ -85,8 +86,8 @@
         primary = self._sightings.all.get(group.primary)
         if primary is None or primary.observed_at is None:
             return
-        if primary.observed_at - heard_at >= SILENCE_MARK_SECONDS:
-            self._silence_marks[server.name] = (heard_at, primary.position)
+        if primary.observed_at - heard_at >= SERVER_SILENT_SECONDS:
+            self._silence_positions[server.name] = (heard_at, primary.position)
 
     def _is_removable(self, server: BackendServer, heard_at: float) -> bool:
         group = self._state.group(server.group)
@@ -95,38 +96,40 @@
         if group.phase is not Phase.STEADY or self._is_cut_off(server):
             return False
         # The silent server may be the only replica with an acknowledged write.
-        # Promotions ask all recorded replicas; it may leave that set only once
-        # another one holds all that was acknowledged with its help.
-        # A silent primary has no mark: nobody knows how far it is.
-        marked = self._silence_marks.get(server.name)
-        if marked is None or marked[0] != heard_at:
+        # Promotions query all recorded replicas, so it may be removed only once
+        # another replica has every write that it may have helped to acknowledge.
+        # A silent primary has no recorded position, because its position is unknown,
+        # and is not removed.
+        recorded = self._silence_positions.get(server.name)
+        if recorded is None or recorded[0] != heard_at:
             return False
         others = [
-            one
-            for one in self._state.servers_of(server.group)
-            if one.name not in (server.name, group.primary)
+            other
+            for other in self._state.servers_of(server.group)
+            if other.name not in (server.name, group.primary)
         ]
         return not others or any(
-            self._covers(one, marked[1], group.term_starts) for one in others
+            self._has_writes_up_to(other, recorded[1], group.term_starts)
+            for other in others
         )
 
     def _is_cut_off(self, server: BackendServer) -> bool:
-        """Tell whether no proxy next to the server reports at this time.
+        """Return whether no proxy in the server's failure domain reports.
 
-        While a failure domain is cut off, its own proxies go on using its
-        servers; their silence here says nothing.
+        While a failure domain is cut off, its own proxies keep using its servers,
+        so hearing nothing from those servers does not show that they have failed.
         """
-        domains = {one.failure_domain for one in self._state.proxies.values()}
+        domains = {proxy.failure_domain for proxy in self._state.proxies.values()}
         if server.failure_domain not in domains:
             return False
         interval = self._state.settings.root.renew_interval_ms / 1000
         renewed_at = self._sightings.renewed_at(server.failure_domain)
         return self._clock.now() - renewed_at > FRESH_RENEW_INTERVALS * interval
 
-    def _covers(
-        self, server: BackendServer, mark: Position, starts: tuple[Position, ...]
+    def _has_writes_up_to(
+        self, server: BackendServer, required: Position, starts: tuple[Position, ...]
     ) -> bool:
         sighting = self._sightings.all.get(server.name)
         if sighting is None:
             return False
-        return is_covered(mark, sighting.position, starts)
+        return is_covered(required, sighting.position, starts)
--- a/packages/control/src/dogwoodspool_control/runtime.py
+++ b/packages/control/src/dogwoodspool_control/runtime.py
@@ -18,8 +18,8 @@
 from .leader import FailureWatch, LeaderLoop
 from .membership.departures import Departures
 from .membership.incarnations import IncarnationAges
+from .membership.maintenance import AckAudit, LeaseBoundMaintenance
 from .membership.membership import Membership
-from .membership.upkeep import AckAudit, LeaseBoundUpkeep
 from .node import ControlNode
 from .promotion.detector import FailureDetector
 from .promotion.failovers import FailoverTimeline
@@ -89,7 +89,7 @@
             reconciler=Reconciler(
                 clock, state, sightings, role_changers, self._executor
             ),
-            lease_bound=LeaseBoundUpkeep(clock, state, table),
+            lease_bound=LeaseBoundMaintenance(clock, state, table),
             ack_audit=AckAudit(
                 clock,
                 state,
--- a/tests/control/membership/test_departures.py
+++ b/tests/control/membership/test_departures.py
@@ -1,4 +1,4 @@
-"""Tests of primaries that leave."""
+"""Tests of promotions for leaving primaries."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class DeparturesTests(unittest.TestCase):
-    """A leaving primary is replaced, once at a time."""
+    """Planned promotions begin for leaving primaries, with a pause between attempts."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -28,13 +28,13 @@
         leaving = server(name, failure_domain, is_leaving=True)
         self.voter.commit(RecordServer(leaving))
 
-    def test_a_leaving_replica_moves_nothing(self) -> None:
+    def test_leaving_replica_begins_no_promotion(self) -> None:
         self.leave("s2", "fd2")
         self.assertEqual(self.due(), [])
 
-    def test_a_leaving_primary_is_moved_and_tried_again_after_a_pause(self) -> None:
+    def test_leaving_primary_is_replaced_and_retried_after_a_pause(self) -> None:
         # An operator takes the primary's machine out of service. Without a
-        # promotion every write would still go there until it stops.
+        # promotion every write would go there until the machine stops.
         self.leave("s1", "fd1")
         term = self.voter.state.groups[GROUP].term
         expected = [BeginPromotion(GROUP, term, PromotionReason.PLANNED)]
@@ -43,7 +43,7 @@
         self.clock.advance(DEPARTURE_RETRY_SECONDS)
         self.assertEqual(self.due(), expected)
 
-    def test_a_group_that_leaves_as_a_whole_keeps_its_primary(self) -> None:
+    def test_group_whose_servers_all_leave_keeps_its_primary(self) -> None:
         for name, failure_domain in (("s1", "fd1"), ("s2", "fd2"), ("s3", "fd3")):
             self.leave(name, failure_domain)
         self.assertEqual(self.due(), [])
--- a/tests/control/membership/test_membership.py
+++ b/tests/control/membership/test_membership.py
@@ -19,7 +19,7 @@
 
 
 def announcement(announced: BackendServer, role: Role = Role.REPLICA) -> Announcement:
-    """Return what a server announces."""
+    """Return the announcement of a server."""
     return Announcement(
         server=announced.name,
         group=announced.group,
@@ -34,7 +34,7 @@
 
 
 class MembershipTests(unittest.TestCase):
-    """Which commands follow from what proxies report."""
+    """Commands derived from the renewals of proxies."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -47,7 +47,7 @@
         messages = [announcement(one) for one in announced]
         self.sightings.observe(renewal(proxy, announcements=messages))
 
-    def test_an_unknown_groups_primary_is_taken_over(self) -> None:
+    def test_primary_of_an_unknown_group_bootstraps_it(self) -> None:
         message = announcement(server("s1"), Role.PRIMARY)
         self.sightings.observe(renewal("p1", announcements=[message]))
         self.assertEqual(
@@ -55,17 +55,18 @@
             [RecordServer(server("s1")), BootstrapGroup(GROUP, 4, "s1")],
         )
 
-    def test_a_leaving_server_is_recorded_at_once(self) -> None:
+    def test_leaving_server_is_recorded_immediately(self) -> None:
         populate(self.voter, {"p1": "fd1"})
         leaving = server("s2", "fd2", is_leaving=True)
         self.announce("p1", server("s2", "fd2"))
         self.announce("p1", leaving)
         self.assertEqual(self.membership.due_commands(), [RecordServer(leaving)])
 
-    def test_old_and_new_announcements_in_turn_do_not_flap(self) -> None:
-        """A server restarts with more slots; one proxy repeats what it had heard.
+    def test_alternating_announcements_do_not_change_the_record(self) -> None:
+        """A server restarts with more slots; one proxy repeats its old announcement.
 
-        The record would change with each renewal, and with it every proxy's view.
+        Without the delay the record, and with it the view of every proxy, would
+        change with each renewal.
         """
         populate(self.voter, {"p1": "fd1"})
         old = server("s2", "fd2")
@@ -82,7 +83,7 @@
 
 
 class RemovalTests(unittest.TestCase):
-    """When a silent server is removed."""
+    """Removal of servers that have become silent."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -99,7 +100,7 @@
         for _ in range(seconds * 2):
             self.clock.advance(0.5)
             for proxy in proxies.split():
-                seen = [
+                observations = [
                     observation(
                         name,
                         status=ServerStatus(
@@ -113,28 +114,30 @@
                     for name, offset in offsets.items()
                 ]
                 domain = f"fd{proxy[1:]}"
-                self.sightings.observe(renewal(proxy, domain, observations=seen))
+                self.sightings.observe(
+                    renewal(proxy, domain, observations=observations)
+                )
             due = list(self.membership.due_commands())
         return due
 
-    def test_a_replica_of_which_nobody_heard_is_removed(self) -> None:
+    def test_silent_replica_is_removed(self) -> None:
         offsets = {"s1": 9, "s3": 9}
         self.assertEqual(self.run_for(29, "p1 p2 p3", offsets), [])
         due = self.run_for(3, "p1 p2 p3", offsets)
         self.assertEqual(due, [RemoveServer("s2")])
 
-    def test_the_only_holder_of_an_acknowledged_write_stays(self) -> None:
-        """s2 alone has a write that was acknowledged; it falls silent.
+    def test_only_replica_with_an_acknowledged_write_is_kept(self) -> None:
+        """The only replica with an acknowledged write, s2, becomes silent.
 
-        Were it removed, a promotion would ask s3 alone and lose the write.
+        If it were removed, a promotion would query s3 only and lose the write.
         """
         due = self.run_for(40, "p1 p2 p3", {"s1": 9, "s3": 8})
         self.assertEqual(due, [])
 
-    def test_servers_of_a_cut_off_domain_stay(self) -> None:
+    def test_servers_of_a_cut_off_domain_are_kept(self) -> None:
         due = self.run_for(40, "p1 p3", {"s1": 9, "s3": 9})
         self.assertEqual(due, [])
 
-    def test_the_primary_stays(self) -> None:
+    def test_silent_primary_is_kept(self) -> None:
         due = self.run_for(40, "p1 p2 p3", {"s2": 9, "s3": 9})
         self.assertEqual(due, [])
