--- a/packages/control/src/dogwoodspool_control/http/__init__.py
+++ b/packages/control/src/dogwoodspool_control/http/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints of a control process."""
+"""HTTP endpoints of a control process."""
--- a/packages/control/src/dogwoodspool_control/http/admin.py
+++ b/packages/control/src/dogwoodspool_control/http/admin.py
@@ -1,4 +1,4 @@
-"""Endpoints for operators and balancers."""
+"""Endpoints for operators and load balancers."""
 
 from collections.abc import Mapping
 from dataclasses import asdict
@@ -46,11 +46,11 @@
 from ..readiness import Readiness
 from ..state import ControlState
 from ..status import StatusReport
-from .support import answering
+from .support import with_error_responses
 
 
 class VoterChange(BaseModel):
-    """Add a voter at an address, or remove one."""
+    """Request to add a voter at an address, or to remove it when none is given."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -59,7 +59,7 @@
 
 
 class ProxyRemoval(BaseModel):
-    """Forget a proxy whose instance is gone for good."""
+    """Request to remove a proxy whose instance will not return."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -67,10 +67,10 @@
 
 
 class AdminApi:
-    """Serve settings, status and changes of the control group itself.
+    """Serve settings, status and membership changes of the control group.
 
     Args:
-        secret_key: key of the fingerprints that stand for secrets.
+        secret_key: key of the fingerprints that are shown in place of secrets.
     """
 
     def __init__(
@@ -91,15 +91,17 @@
         self._readiness = readiness
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
+        """Return the routes."""
         return [
-            Route("GET", PATH_SETTINGS_TREE, answering(self._tree)),
-            Route("GET", PATH_SETTINGS_EFFECTIVE, answering(self._effective)),
-            Route("GET", PATH_SETTINGS_HISTORY, answering(self._history)),
-            Route("GET", PATH_STATUS, answering(self._show_status)),
-            Route("GET", PATH_VOTERS, answering(self._voters)),
-            Route("POST", PATH_VOTERS, answering(self._change_voters)),
-            Route("POST", PATH_FORGET_PROXY, answering(self._forget_proxy)),
+            Route("GET", PATH_SETTINGS_TREE, with_error_responses(self._tree)),
+            Route(
+                "GET", PATH_SETTINGS_EFFECTIVE, with_error_responses(self._effective)
+            ),
+            Route("GET", PATH_SETTINGS_HISTORY, with_error_responses(self._history)),
+            Route("GET", PATH_STATUS, with_error_responses(self._show_status)),
+            Route("GET", PATH_VOTERS, with_error_responses(self._voters)),
+            Route("POST", PATH_VOTERS, with_error_responses(self._change_voters)),
+            Route("POST", PATH_FORGET_PROXY, with_error_responses(self._forget_proxy)),
             Route("GET", PATH_LIVE, self._live, is_open=True),
             Route("GET", PATH_READY, self._ready, is_open=True),
             Route("GET", PATH_METRICS, self._metrics, is_open=True),
@@ -130,7 +132,9 @@
         self._node.confirm_read()
         text = request.query.get(QUERY_LIMIT, str(DEFAULT_HISTORY))
         if not text.isdecimal():
-            raise CommandRejectedError(CODE_INVALID, f"{QUERY_LIMIT} is no number")
+            raise CommandRejectedError(
+                CODE_INVALID, f"{QUERY_LIMIT}={text!r} is not a number"
+            )
         limit = min(int(text), MAX_HISTORY)
         path = request.query.get(QUERY_PATH)
         entries = self._state.settings_history(limit, path)
@@ -165,9 +169,9 @@
         return JsonResponse({"status": "live"})
 
     def _ready(self, _request: JsonRequest) -> JsonResponse:
-        """Tell whether this voter can serve: a quorum confirms reads."""
+        """Return 200 when a quorum confirms reads, else 503."""
         if not self._readiness.is_ready():
-            return error_response(503, "not_ready", "no quorum confirms reads")
+            return error_response(503, "not_ready", "no quorum confirmed a read")
         return JsonResponse({"status": "ready"})
 
     def _metrics(self, _request: JsonRequest) -> JsonResponse:
--- a/packages/control/src/dogwoodspool_control/http/api.py
+++ b/packages/control/src/dogwoodspool_control/http/api.py
@@ -1,4 +1,4 @@
-"""Endpoints for proxies' renewals and for changes of the state."""
+"""Endpoints for renewals by proxies and for changes of the state."""
 
 from dogwoodspool_api import (
     PromoteRequest,
@@ -16,11 +16,11 @@
 from ..node import ControlNode
 from ..promotion.planned import PlannedPromotions
 from ..state import ControlState
-from .support import WaitSlots, answering
+from .support import WaitSlots, with_error_responses
 
 
 class ControlApi:
-    """Serve proxies and changes of the state."""
+    """Serve renewals by proxies and changes of the state."""
 
     def __init__(
         self,
@@ -37,11 +37,15 @@
         self._wait_slots = wait_slots
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
+        """Return the routes."""
         return [
-            Route("POST", PATH_RENEW, answering(self._renew)),
-            Route("POST", PATH_SETTINGS_CHANGE, answering(self._change_settings)),
-            Route("POST", PATH_PROMOTE, answering(self._promote)),
+            Route("POST", PATH_RENEW, with_error_responses(self._renew)),
+            Route(
+                "POST",
+                PATH_SETTINGS_CHANGE,
+                with_error_responses(self._change_settings),
+            ),
+            Route("POST", PATH_PROMOTE, with_error_responses(self._promote)),
         ]
 
     def _renew(self, request: JsonRequest) -> JsonResponse:
@@ -53,7 +57,10 @@
             len(message.connection_demand),
         )
         if max(counts) > MAX_RENEW_ITEMS:
-            raise CommandRejectedError(CODE_INVALID, "the renewal has too many items")
+            raise CommandRejectedError(
+                CODE_INVALID,
+                f"more than {MAX_RENEW_ITEMS} items in a list of the renewal",
+            )
         return JsonResponse(self._renewals.renew(message).model_dump(mode="json"))
 
     def _change_settings(self, request: JsonRequest) -> JsonResponse:
--- a/packages/control/src/dogwoodspool_control/http/poll_pace.py
+++ b/packages/control/src/dogwoodspool_control/http/poll_retry.py
@@ -1,4 +1,4 @@
-"""Decide when polls that cannot wait at a control process come back."""
+"""Retry delays for polls that find no free slot at a control process."""
 
 import threading
 
@@ -8,12 +8,12 @@
 from ..const import POLL_HORIZON_SECONDS, POLL_PAUSE_SECONDS, POLL_SPACING_SECONDS
 
 
-class PollPace:
-    """Choose when the polls that find no slot come back.
+class PollRetrySchedule:
+    """Spread the retries of polls that find no free slot.
 
-    The load pattern that it answers: a control process is lost, and the proxies that
-    polled it turn to those that are left. Without a pause each poll beyond the slots
-    would follow on the answer to the one before.
+    When a control process is lost, the proxies that polled it poll the remaining ones
+    instead. Without a delay, each poll beyond the slots would be repeated as soon as
+    it is answered.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -21,8 +21,8 @@
         self._lock = threading.Lock()
         self._returns = ReturnSchedule(POLL_HORIZON_SECONDS)
 
-    def take_turn(self) -> float:
-        """Return the seconds after which the next of them comes back."""
+    def next_delay(self) -> float:
+        """Return the seconds after which the next of these polls is to be retried."""
         with self._lock:
             return self._returns.take_turn(
                 self._clock.now(), POLL_PAUSE_SECONDS, POLL_SPACING_SECONDS
--- a/packages/control/src/dogwoodspool_control/http/support.py
+++ b/packages/control/src/dogwoodspool_control/http/support.py
@@ -1,4 +1,4 @@
-"""What all endpoints of a control process share."""
+"""Helpers shared by the endpoints of a control process."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -29,35 +29,35 @@
 
 
 class WaitSlots:
-    """Bound how many requests hold a thread while they wait."""
+    """Limit how many requests hold a thread while they wait."""
 
     def __init__(self, count: int) -> None:
         self._slots = threading.BoundedSemaphore(count)
 
     @contextmanager
     def taken(self) -> Iterator[None]:
-        """Hold a slot; raise ``TooManyWaitersError`` when there is none."""
+        """Hold a slot; raise ``TooManyWaitersError`` when none is free."""
         if not self._slots.acquire(blocking=False):
-            raise TooManyWaitersError("too many requests wait here")
+            raise TooManyWaitersError("all slots for waiting requests are in use")
         try:
             yield
         finally:
             self._slots.release()
 
 
-def answering(handler: Handler) -> Handler:
-    """Turn this library's errors into error answers."""
+def with_error_responses(handler: Handler) -> Handler:
+    """Convert errors of the control and consensus libraries to error responses."""
 
     def handle(request: JsonRequest) -> JsonResponse:
         try:
             return handler(request)
         except (ControlError, ConsensusError) as error:
-            return _error_answer(error)
+            return _error_response(error)
 
     return handle
 
 
-def _error_answer(error: Exception) -> JsonResponse:
+def _error_response(error: Exception) -> JsonResponse:
     match error:
         case LeadershipLostError():
             return error_response(421, CODE_NOT_LEADER, error.leader)
@@ -74,9 +74,13 @@
             return error_response(503, CODE_NOT_CONFIRMED, str(error))
 
 
-def number_in_query(request: JsonRequest, name: str, default: int) -> int:
-    """Return a number of the query; raise ``CommandRejectedError`` for a bad one."""
+def parse_query_number(request: JsonRequest, name: str, default: int) -> int:
+    """Return a query parameter as a non-negative integer.
+
+    Raises:
+        CommandRejectedError: the parameter is not a number.
+    """
     text = request.query.get(name, str(default))
     if not text.isdecimal():
-        raise CommandRejectedError(CODE_INVALID, f"{name} is no number")
+        raise CommandRejectedError(CODE_INVALID, f"{name}={text!r} is not a number")
     return int(text)
--- a/packages/control/src/dogwoodspool_control/http/watch.py
+++ b/packages/control/src/dogwoodspool_control/http/watch.py
@@ -16,21 +16,22 @@
 from ..errors import TooManyWaitersError
 from ..node import ControlNode
 from ..state import ControlState
-from .poll_pace import PollPace
-from .support import WaitSlots, answering, number_in_query
+from .poll_retry import PollRetrySchedule
+from .support import WaitSlots, parse_query_number, with_error_responses
 
 
 class WatchApi:
     """Serve proxies that follow the committed state.
 
-    Polls that wait, be it for a quorum, must leave threads to the votes and entries
-    that make one: a control group whose threads they held all never elected. So each
-    holds a slot, and one that finds none is told at once when to come back.
+    Polls that wait, including those that wait for a quorum, must leave threads for
+    the votes and log entries that form one. If they held all threads, the control
+    group could not elect a leader. Each of them therefore holds a slot, and a poll
+    that finds no free slot is answered at once with the time after which to retry.
 
     Args:
-        wait_slots: fewer than the server has threads.
-        members: the control processes that proxies are told of; none where the
-            operator gives proxies their addresses.
+        wait_slots: slots for waiting polls; fewer than the server has threads.
+        members: returns the control processes that are announced to proxies; empty
+            where the operator configures their addresses at the proxies.
     """
 
     def __init__(
@@ -45,15 +46,15 @@
         self._state = state
         self._wait_slots = wait_slots
         self._members = members
-        self._pace = PollPace(clock)
+        self._retries = PollRetrySchedule(clock)
 
     def routes(self) -> list[Route]:
-        """Return the endpoints."""
-        return [Route("GET", PATH_WATCH, answering(self._watch))]
+        """Return the routes."""
+        return [Route("GET", PATH_WATCH, with_error_responses(self._watch))]
 
     def _watch(self, request: JsonRequest) -> JsonResponse:
-        after = number_in_query(request, QUERY_AFTER, 0)
-        wait_ms = min(number_in_query(request, QUERY_WAIT_MS, 0), MAX_WATCH_MS)
+        after = parse_query_number(request, QUERY_AFTER, 0)
+        wait_ms = min(parse_query_number(request, QUERY_WAIT_MS, 0), MAX_WATCH_MS)
         must_confirm = request.query.get(QUERY_CONFIRMED) == "1"
         is_newer = not must_confirm and self._state.version > after
         retry_after = 0.0
@@ -64,7 +65,7 @@
                         after, wait_ms / MILLISECONDS, must_confirm=must_confirm
                     )
             except TooManyWaitersError:
-                retry_after = self._pace.take_turn()
+                retry_after = self._retries.next_delay()
         response = WatchResponse(
             view=self._state.view_since(after) if is_newer else None,
             leader=self._node.leader or None,
--- a/packages/failover/src/dogwoodspool_failover/api.py
+++ b/packages/failover/src/dogwoodspool_failover/api.py
@@ -11,7 +11,7 @@
 )
 from dogwoodspool_common import JsonRequest, JsonResponse, Route
 from dogwoodspool_consensus import ConsensusNode
-from dogwoodspool_control.http.support import answering
+from dogwoodspool_control.http.support import with_error_responses
 from dogwoodspool_control.node import ControlNode
 
 from .diagnostics import FailoverDiagnostics
@@ -36,8 +36,8 @@
     def routes(self) -> list[Route]:
         """Return the endpoints."""
         return [
-            Route("POST", PATH_REPORTS, answering(self._report)),
-            Route("GET", PATH_STATUS, answering(self._status)),
+            Route("POST", PATH_REPORTS, with_error_responses(self._report)),
+            Route("GET", PATH_STATUS, with_error_responses(self._status)),
             Route("GET", PATH_METRICS, self._metrics, is_open=True),
             Route("GET", PATH_LIVE, self._live, is_open=True),
         ]
--- a/packages/failover/src/dogwoodspool_failover/joining.py
+++ b/packages/failover/src/dogwoodspool_failover/joining.py
@@ -16,7 +16,7 @@
 from dogwoodspool_consensus import ConsensusNode, MembershipChangeError, NotLeaderError
 from dogwoodspool_control.const import CODE_CONFLICT
 from dogwoodspool_control.errors import CommandRejectedError, LeadershipLostError
-from dogwoodspool_control.http.support import answering
+from dogwoodspool_control.http.support import with_error_responses
 from dogwoodspool_control.node import ControlNode
 from dogwoodspool_following import ControlPeers, Coordinator
 
@@ -86,7 +86,7 @@
 
     def routes(self) -> list[Route]:
         """Return the endpoint."""
-        return [Route("POST", PATH_JOIN, answering(self._join))]
+        return [Route("POST", PATH_JOIN, with_error_responses(self._join))]
 
     def _join(self, request: JsonRequest) -> JsonResponse:
         message = JoinRequest.model_validate(request.body)
--- a/tests/control/http/__init__.py
+++ b/tests/control/http/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control library's http."""
+"""Tests of the HTTP endpoints of the control library."""
--- a/tests/control/http/test_http.py
+++ b/tests/control/http/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoints of a control process."""
+"""Tests of the HTTP endpoints of a control process."""
 
 import threading
 import time
@@ -36,7 +36,7 @@
 
 
 class ControlApiTests(unittest.TestCase):
-    """Answers of the leader and of another voter."""
+    """Responses of the leader and of a follower."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -83,7 +83,7 @@
         }
         return self.call(PATH_SETTINGS_CHANGE, body)
 
-    def test_a_renewal_gives_grants_and_base_shares(self) -> None:
+    def test_renewal_returns_grants_and_base_shares(self) -> None:
         body = self.renew("p1", connection_demand={"s1": 9}).body
         self.assertEqual([grant["group"] for grant in body["grants"]], [GROUP])
         self.assertEqual(body["connection_shares"]["s1"], 1)
@@ -91,39 +91,39 @@
         body = self.renew("p1", connection_demand={"s1": 9}).body
         self.assertEqual(body["connection_shares"]["s1"], 9)
 
-    def test_a_new_proxy_is_registered_and_then_served(self) -> None:
+    def test_new_proxy_is_registered_before_it_gets_grants(self) -> None:
         self.assertEqual(self.renew("p2").body["grants"], [])
         self.queue.commit_next()
         self.assertEqual(len(self.renew("p2").body["grants"]), 1)
 
-    def test_another_voter_names_the_leader(self) -> None:
+    def test_follower_responds_with_the_leader(self) -> None:
         self.voter.stop_leading()
         response = self.renew("p1")
         self.assertEqual((response.status, response.body["error"]), (421, "not_leader"))
 
-    def test_renewals_are_bounded_for_each_proxy(self) -> None:
+    def test_renewals_are_rate_limited_per_proxy(self) -> None:
         statuses = [self.renew("p1").status for _ in range(60)]
         self.assertEqual(statuses.count(429), 20)
         self.assertEqual(self.renew("p3").status, 200)
         self.clock.advance(1.0)
         self.assertEqual(self.renew("p1").status, 200)
 
-    def test_a_lost_race_is_a_conflict_and_a_resend_is_not(self) -> None:
-        """Two operators race; the first one's answer is lost and it resends."""
+    def test_concurrent_change_conflicts_and_a_resend_does_not(self) -> None:
+        """Two operators change one node; the first loses the response and resends."""
         first = self.change("c1", 0, deadline_ms=900)
         self.assertEqual(first.status, 200)
         self.assertEqual(self.change("c2", 0, deadline_ms=700).status, 409)
         self.assertEqual(self.change("c1", 0, deadline_ms=900), first)
         self.assertEqual(self.change("c3", 1, deadline_ms=-1).status, 400)
 
-    def test_an_unknown_outcome_can_be_resent(self) -> None:
+    def test_change_with_an_unknown_outcome_can_be_resent(self) -> None:
         propose = self.voter.log_node.propose
 
-        def lose_answer(command: dict[str, Any], timeout: float) -> dict[str, Any]:
+        def lose_response(command: dict[str, Any], timeout: float) -> dict[str, Any]:
             propose(command, timeout)
-            raise OutcomeUnknownError("no answer")
+            raise OutcomeUnknownError("no response")
 
-        self.voter.log_node.propose = lose_answer  # type: ignore[method-assign]
+        self.voter.log_node.propose = lose_response  # type: ignore[method-assign]
         response = self.change("c1", 0, deadline_ms=900)
         self.assertEqual(response.status, 503)
         self.assertEqual(response.body["error"], "outcome_unknown")
@@ -131,10 +131,10 @@
         self.assertEqual(self.change("c1", 0, deadline_ms=900).body["version"], 1)
         self.assertEqual(self.voter.state.settings.root.deadline_ms, 900)
 
-    def test_a_cut_off_voter_confirms_no_view(self) -> None:
-        """A restarted proxy asks a voter that was cut off for hours.
+    def test_cut_off_voter_confirms_no_view(self) -> None:
+        """A restarted proxy polls a voter that has been cut off for hours.
 
-        Its old state must not become the proxy's first view.
+        The outdated state of the voter must not become the proxy's first view.
         """
 
         def refuse(timeout: float) -> int:
@@ -144,29 +144,31 @@
         self.assertEqual(self.call(PATH_WATCH, confirmed="1").status, 503)
         self.assertEqual(self.call(PATH_WATCH).status, 200)
 
-    def test_a_long_poll_returns_with_the_next_change(self) -> None:
+    def test_long_poll_returns_the_next_change(self) -> None:
         version = self.voter.state.version
-        answers: list[JsonResponse] = []
+        responses: list[JsonResponse] = []
 
         def poll() -> None:
             query = {"after": str(version), "wait_ms": "20000"}
-            answers.append(self.call(PATH_WATCH, **query))
+            responses.append(self.call(PATH_WATCH, **query))
 
         pollers = [threading.Thread(target=poll) for _ in range(MAX_WATCHERS + 3)]
         for poller in pollers:
             poller.start()
-        # Those beyond the bound are answered at once and without a view.
+        # Polls beyond the slots are answered at once and without a view.
         deadline = time.monotonic() + 10
-        while len(answers) < 3 and time.monotonic() < deadline:
+        while len(responses) < 3 and time.monotonic() < deadline:
             time.sleep(0.001)
         self.change("c1", 0, deadline_ms=900)
-        self.assertEqual([answer.body["view"] for answer in answers[:3]], [None] * 3)
+        self.assertEqual(
+            [response.body["view"] for response in responses[:3]], [None] * 3
+        )
         for poller in pollers:
             poller.join(10)
-        versions = [answer.body["view"]["version"] for answer in answers[3:]]
+        versions = [response.body["view"]["version"] for response in responses[3:]]
         self.assertEqual(versions, [version + 1] * MAX_WATCHERS)
 
-    def test_a_promotion_is_refused_or_begun_once(self) -> None:
+    def test_promotion_is_rejected_or_begun_once(self) -> None:
         body: dict[str, Any] = {"change_id": "c1", "group": GROUP, "candidate": "s2"}
         self.assertEqual(self.call(PATH_PROMOTE, body).status, 409)
         body = {"change_id": "c2", "group": GROUP, "candidate": None}
--- a/tests/control/membership/__init__.py
+++ b/tests/control/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control library's membership."""
+"""Tests of the membership of the control library."""
--- a/tests/control/settings/__init__.py
+++ b/tests/control/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control library's settings."""
+"""Tests of the settings of the control library."""
