--- a/packages/control/src/dogwoodspool_control/command_queue.py
+++ b/packages/control/src/dogwoodspool_control/command_queue.py
@@ -1,4 +1,4 @@
-"""Commit commands one after another, away from the threads that notice the need."""
+"""Queue of commands that a separate thread commits one after another."""
 
 import threading
 from collections import OrderedDict
@@ -16,11 +16,11 @@
 
 
 class CommandQueue:
-    """Commit commands that several observers may ask for at the same time.
+    """Commit commands that several components may request at the same time.
 
-    A command that waits or was committed just now is not taken again. A commit
-    may take long when a disk or a peer is slow; the thread that watches for
-    failures must not stand still meanwhile.
+    A command that is queued or was committed a moment ago is not queued again. A
+    commit can take long when a disk or a peer is slow, and must not block the thread
+    that detects failures.
     """
 
     def __init__(self, clock: Clock, node: ControlNode) -> None:
@@ -35,18 +35,18 @@
         )
 
     def set_up(self) -> None:
-        """Begin to commit."""
+        """Start the thread."""
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop after the commit under way."""
+        """Stop after the commit in progress."""
         with self._changed:
             self._is_closed = True
             self._changed.notify_all()
         self._thread.join()
 
     def offer(self, command: Command) -> None:
-        """Commit a command soon, unless it is known or the queue is full."""
+        """Queue a command, unless it was queued recently or the queue is full."""
         key = repr(command)
         now = self._clock.now()
         with self._changed:
@@ -58,13 +58,13 @@
             self._changed.notify_all()
 
     def clear(self) -> None:
-        """Drop what was asked for under an earlier leadership."""
+        """Drop the commands queued under an earlier leadership."""
         with self._changed:
             self._waiting.clear()
             self._paused_until.clear()
 
     def commit_next(self) -> None:
-        """Commit the oldest command; do nothing when none waits."""
+        """Commit the oldest queued command, if any."""
         with self._changed:
             if not self._waiting:
                 return
--- a/packages/control/src/dogwoodspool_control/commands.py
+++ b/packages/control/src/dogwoodspool_control/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log and their form in it."""
+"""Commands of the replicated log and their encoding."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterProxy:
-    """Register a proxy, or its new process."""
+    """Register a proxy or its new process."""
 
     name: str
     incarnation: str
@@ -22,28 +22,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetProxy:
-    """Remove a proxy whose instance is gone for good."""
+    """Remove a proxy whose instance will not return."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class RecordServer:
-    """Record what a backend server announced."""
+    """Record the announced properties of a backend server."""
 
     server: BackendServer
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveServer:
-    """Remove a backend server of which nothing was heard."""
+    """Remove a backend server that has been silent."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapGroup:
-    """Record a group that had a primary before control knew of it."""
+    """Record a group that already had a primary when it was first announced."""
 
     group: str
     term: int
@@ -55,10 +55,11 @@
     """Begin to change a group's primary.
 
     Attributes:
-        expected_term: the group's term when this was decided; of two racing
+        expected_term: the group's term at the decision; of two concurrent
             promotions the second finds another term and is rejected.
-        is_retry: the chosen server of a promotion in progress did not answer.
-        change_id: identity of an operator's change, empty for none.
+        is_retry: whether the server chosen by a promotion in progress did not
+            answer.
+        change_id: id of an operator's change; empty for none.
     """
 
     group: str
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoosePrimary:
-    """Record the new primary and where its term branches."""
+    """Record the new primary and the offset at which its term branches."""
 
     group: str
     term: int
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndPromotion:
-    """Record that the new primary took its term at an offset."""
+    """Record that the new primary began its term at an offset."""
 
     group: str
     term: int
@@ -101,11 +102,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LowerLeaseBound:
-    """Forget longer leases of earlier settings, which have run out.
+    """Lower the lease bound after the longer leases of earlier settings expired.
 
     Attributes:
-        settings_index: log index of the last change of the settings when this
-            was decided; a change since then makes the command void.
+        settings_index: log index of the last change of the settings at the
+            decision; the command is rejected after a later change.
     """
 
     settings_index: int
@@ -125,12 +126,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyDocument:
-    """Put a complete description of settings and endpoints in force.
+    """Apply a complete document of settings and endpoints.
 
     Attributes:
-        revision: the outside's own number; only a higher one takes effect.
-        content: the description as ``documents.pack`` made it.
-        author: who sent it, for the history.
+        revision: revision number of the external system; only a higher one takes
+            effect.
+        content: the document as encoded by ``documents.pack``.
+        author: author for the settings history.
     """
 
     revision: int
@@ -142,8 +144,8 @@
 class IssueToken:
     """Issue a fencing token for a call that replaces a group's primary.
 
-    The token is the index of this entry: it grows with every call, whoever
-    makes it, and no two holders can have the same one.
+    The token is the log index of this entry, so it increases with every call of any
+    holder and no two holders get the same one.
     """
 
     group: str
@@ -152,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdoptPrimary:
-    """Record a primary that took its place without being told by this leader.
+    """Record a primary that took over without being promoted by this leader.
 
     Attributes:
         expected_term: as for ``BeginPromotion``.
@@ -218,17 +220,17 @@
 
 
 def encode_command(command: Command) -> dict[str, Any]:
-    """Return the log's form of a command."""
+    """Encode a command for the replicated log."""
     kind = _kinds[type(command)]
     fields: dict[str, Any] = _adapters[kind].dump_python(command, mode="json")
     return {KIND: kind, **fields}
 
 
 def decode_command(fields: dict[str, Any]) -> Command:
-    """Return the command of a log entry.
+    """Decode the command of a log entry.
 
     Raises:
-        CommandRejectedError: a newer program wrote a command unknown here.
+        CommandRejectedError: the command is unknown, as a newer version wrote it.
     """
     adapter = _adapters.get(str(fields.get(KIND)))
     if adapter is None:
@@ -242,11 +244,11 @@
 
 
 def encode_outcome(outcome: Outcome) -> dict[str, Any]:
-    """Return the form in which an outcome leaves the state machine."""
+    """Encode an outcome as the result of the state machine."""
     fields: dict[str, Any] = _outcome_adapter.dump_python(outcome, mode="json")
     return fields
 
 
 def decode_outcome(fields: dict[str, Any]) -> Outcome:
-    """Return the outcome of a proposed command."""
+    """Decode the outcome of a proposed command."""
     return _outcome_adapter.validate_python(fields)
--- a/packages/control/src/dogwoodspool_control/const.py
+++ b/packages/control/src/dogwoodspool_control/const.py
@@ -3,14 +3,15 @@
 from typing import Final
 
 TICK_SECONDS: Final = 0.05
-MAX_SMOOTH_TICKS: Final = 3
+# A longer gap between two ticks, counted in ticks, means that the process was paused.
+MAX_TICK_GAP: Final = 3
 FRESH_RENEW_INTERVALS: Final = 2
 MIN_OBSERVERS: Final = 2
 
 PROPOSE_TIMEOUT: Final = 2.0
 CONFIRM_TIMEOUT: Final = 2.0
-# A proxy that starts has no service to give until it has a view: it is told soon to
-# ask another control process, as this one may be cut off or have lost its disk.
+# A starting proxy cannot serve callers until it has a view. Failing early lets it
+# poll another control process, as this one may be cut off or have lost its disk.
 WATCH_CONFIRM_TIMEOUT: Final = 0.4
 READINESS_SECONDS: Final = 1.0
 
@@ -37,22 +38,22 @@
 SERVER_REMOVAL_SECONDS: Final = 30.0
 SERVER_SILENT_SECONDS: Final = 2.0
 MAX_SERVERS: Final = 1_024
-# Ended backend servers that are remembered: days of replacements in a small system.
+# Ended backend servers that are kept: days of replacements in a small system.
 MAX_ENDED_SERVERS: Final = 1_024
 
-# Changes of the state that a proxy may lag behind and still get differences only:
-# minutes at a few changes a second.
+# Changes of the state that a proxy may lag behind and still get a delta: minutes at a
+# few changes per second.
 MAX_VIEW_CHANGES: Final = 1_024
 
 MAX_WATCH_MS: Final = 20_000
-# Polls beyond the waiting ones come back at this distance of each other: at some 1.5 ms
-# of processor time for each they leave most of a core to everything else.
-POLL_SPACING_SECONDS: Final = 0.01
-# Longest time until one of them comes back, of the seconds in which a change has to be
-# in force everywhere.
-POLL_HORIZON_SECONDS: Final = 2.0
-# Shortest time, so that a few such polls do not follow on their own answers.
-POLL_PAUSE_SECONDS: Final = 0.1
+# Retries of polls that found no free slot are spaced by this time: at some 1.5 ms of
+# processor time each, they leave most of a core to other work.
+POLL_RETRY_SPACING_SECONDS: Final = 0.01
+# Longest delay of such a retry; part of the seconds within which a change has to be in
+# force at every proxy.
+MAX_POLL_RETRY_SECONDS: Final = 2.0
+# Shortest delay, so that a few such polls are not repeated as soon as answered.
+MIN_POLL_RETRY_SECONDS: Final = 0.1
 MAX_WATCHERS: Final = 24
 HTTP_THREADS: Final = 64
 MAX_RENEW_ITEMS: Final = 512
@@ -80,5 +81,5 @@
 MAX_RATED_PROXIES: Final = 256
 ROLE_STATEMENT_TIMEOUT: Final = 2.0
 
-# Pause before another try to move the primary away from a leaving server.
+# Pause before another attempt to replace a primary that leaves.
 DEPARTURE_RETRY_SECONDS: Final = 5.0
--- a/packages/control/src/dogwoodspool_control/errors.py
+++ b/packages/control/src/dogwoodspool_control/errors.py
@@ -4,18 +4,18 @@
 
 
 class ControlError(DogwoodspoolError):
-    """Base of the errors of the control library."""
+    """Base class of the errors of the control library."""
 
 
 class LeadershipLostError(ControlError):
-    """Report that this voter is not, or no longer, the leader.
+    """Report that this voter is not, or is no longer, the leader.
 
     Attributes:
-        leader: address of the leader as far as known, else empty.
+        leader: address of the leader; empty when unknown.
     """
 
     def __init__(self, leader: str = "") -> None:
-        super().__init__("this voter does not lead")
+        super().__init__("this voter is not the leader")
         self.leader = leader
 
 
@@ -24,10 +24,10 @@
 
 
 class CommandRejectedError(ControlError):
-    """Report a command that was committed and found invalid or too late.
+    """Report a command or request that was rejected as invalid or as too late.
 
     Attributes:
-        code: short machine-readable reason.
+        code: machine-readable reason.
     """
 
     def __init__(self, code: str, message: str) -> None:
@@ -40,7 +40,7 @@
 
 
 class ReleaseFailedError(ControlError):
-    """Report a proxy that did not answer that it gave up a grant."""
+    """Report a proxy that did not confirm the release of a grant."""
 
 
 class TooManyRenewalsError(ControlError):
@@ -48,4 +48,4 @@
 
 
 class TooManyWaitersError(ControlError):
-    """Report that too many long polls wait already."""
+    """Report that no slot for a waiting request is free."""
--- a/packages/control/src/dogwoodspool_control/grants/grants.py
+++ b/packages/control/src/dogwoodspool_control/grants/grants.py
@@ -11,7 +11,7 @@
 from dogwoodspool_consensus import Leadership
 
 from ..errors import LeadershipLostError, StaleIncarnationError
-from ..models import AckKnowledge, Holding, Lease, ProxyRecord, Release
+from ..models import AcknowledgedWrites, IssuedGrant, Lease, ProxyRecord, Release
 from ..settings.state import SettingsState
 
 HolderKey = tuple[str, str]
@@ -74,7 +74,7 @@
         self._term: int | None = None
         self._since = 0.0
         self._bound = 0.0
-        self._holdings: dict[tuple[str, str, str], Holding] = {}
+        self._holdings: dict[tuple[str, str, str], IssuedGrant] = {}
         self._acks: dict[str, _GroupAcks] = {}
         self._incarnations: dict[str, str] = {}
         self._versions: dict[HolderKey, int] = {}
@@ -125,7 +125,7 @@
             self._holdings.pop(key, None)
             acks.unreported.discard(key[:2])
 
-    def holdings(self, group: str) -> list[Holding]:
+    def holdings(self, group: str) -> list[IssuedGrant]:
         """Return a group's grants that may still be valid."""
         now = self._clock.now()
         with self._lock:
@@ -136,12 +136,12 @@
                 if holding.group == group and holding.expires_at > now
             ]
 
-    def knowledge(self, group: str) -> AckKnowledge:
+    def knowledge(self, group: str) -> AcknowledgedWrites:
         """Return what is known of a group's acknowledged writes."""
         is_replicated = self._state.settings.is_settled(group)
         with self._lock:
             acks = self._acks_of(group)
-            return AckKnowledge(
+            return AcknowledgedWrites(
                 positions=tuple(
                     Position(term, offset) for term, offset in acks.offsets.items()
                 ),
@@ -244,7 +244,7 @@
     ) -> None:
         key = (request.proxy, request.incarnation, group.name)
         expires_at = max(expires_at, self._expiry(key))
-        self._holdings[key] = Holding(*key, group.term, expires_at)
+        self._holdings[key] = IssuedGrant(*key, group.term, expires_at)
         self._acks_of(group.name).unreported.add(key[:2])
 
     def _expiry(self, key: tuple[str, str, str]) -> float:
--- a/packages/control/src/dogwoodspool_control/http/poll_retry.py
+++ b/packages/control/src/dogwoodspool_control/http/poll_retry.py
@@ -5,7 +5,11 @@
 from dogwoodspool_common import Clock
 from dogwoodspool_limits import ReturnSchedule
 
-from ..const import POLL_HORIZON_SECONDS, POLL_PAUSE_SECONDS, POLL_SPACING_SECONDS
+from ..const import (
+    MAX_POLL_RETRY_SECONDS,
+    MIN_POLL_RETRY_SECONDS,
+    POLL_RETRY_SPACING_SECONDS,
+)
 
 
 class PollRetrySchedule:
@@ -19,11 +23,11 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._returns = ReturnSchedule(POLL_HORIZON_SECONDS)
+        self._returns = ReturnSchedule(MAX_POLL_RETRY_SECONDS)
 
     def next_delay(self) -> float:
         """Return the seconds after which the next of these polls is to be retried."""
         with self._lock:
             return self._returns.take_turn(
-                self._clock.now(), POLL_PAUSE_SECONDS, POLL_SPACING_SECONDS
+                self._clock.now(), MIN_POLL_RETRY_SECONDS, POLL_RETRY_SPACING_SECONDS
             )
--- a/packages/control/src/dogwoodspool_control/leader.py
+++ b/packages/control/src/dogwoodspool_control/leader.py
@@ -1,4 +1,4 @@
-"""What the control group's leader does on its own."""
+"""Periodic work of the leader of the control group."""
 
 from dogwoodspool_common import Clock, GroupState, Phase
 from dogwoodspool_common.const import MILLISECONDS
@@ -22,14 +22,14 @@
 
 
 class FailureWatch:
-    """Ask the detector about each group's primary."""
+    """Evaluate the failure detector for the primary of each group."""
 
     def __init__(self, state: ControlState, detector: FailureDetector) -> None:
         self._state = state
         self._detector = detector
 
     def is_failed(self, group_name: str, server: str) -> bool:
-        """Tell whether the proxies call a server of a group failed."""
+        """Return whether the proxies observe that a server of a group has failed."""
         group = self._state.group(group_name)
         if group is None:
             return False
@@ -54,7 +54,7 @@
 
 
 class LeaderLoop(LeaderTicker):
-    """Look at everything once per tick, while this voter leads.
+    """Run all periodic work once per tick, while this voter is the leader.
 
     Commands go to the queue and calls to the executor; see ``LeaderTicker``.
     """
@@ -92,19 +92,22 @@
         self._ack_audit = ack_audit
 
     def tick(self) -> None:
-        """Look at everything once; ages count also while another voter leads."""
+        """Run one tick; process ages are tracked also while another voter leads."""
         self._ages.observe(self._state.proxies)
         super().tick()
 
     def begin_leadership(self) -> None:
-        """Count every proxy and server as just heard, and drop old commands."""
+        """Reset detector and observations, and drop the queued commands.
+
+        From then on every proxy and server counts as just heard from.
+        """
         interval = self._state.settings.root.renew_interval_ms / MILLISECONDS
         self._detector.start_over(interval)
         self._sightings.start_over()
         self._queue.clear()
 
-    def look(self) -> None:
-        """Queue the commands that are due and go on with promotions."""
+    def run_as_leader(self) -> None:
+        """Queue the commands that are due and run the promotions in progress."""
         self._detector.tick()
         for command in self._membership.due_commands():
             self._queue.offer(command)
--- a/packages/control/src/dogwoodspool_control/main.py
+++ b/packages/control/src/dogwoodspool_control/main.py
@@ -1,4 +1,4 @@
-"""The program dogwoodspool-control."""
+"""Program dogwoodspool-control."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Run a voter until it is told to stop."""
+    """Run a voter until a stop signal."""
     options = read_settings(USAGE, ControlOptions)
     _check_voters(options)
     set_up_logging(PROGRAM_NAME, options.node_id, options.log_level)
@@ -69,8 +69,8 @@
     write_ready_file(options.ready_file, {"address": server.address})
     stop.wait()
     log_event("control_stopping")
-    # The log first: from then on this voter gives nothing and the others elect a
-    # leader, while requests under way still get their answer.
+    # The consensus node first: from then on this voter issues no grants and the other
+    # voters elect a leader, while requests in progress still get their response.
     consensus.unload()
     runtime.unload()
     server.unload()
@@ -85,7 +85,9 @@
 
 def _check_voters(options: ControlOptions) -> None:
     if options.bootstrap and options.node_id not in options.voters:
-        raise SettingsError("--bootstrap needs --voters with this --node-id in it")
+        raise SettingsError(
+            f"--bootstrap: --voters does not contain --node-id={options.node_id}"
+        )
 
 
 def _build_consensus(
--- a/packages/control/src/dogwoodspool_control/membership/instances.py
+++ b/packages/control/src/dogwoodspool_control/membership/instances.py
@@ -34,15 +34,17 @@
     def register(self, index: int, command: RegisterProxy, max_proxies: int) -> Outcome:
         """Add a proxy or update it from its new process."""
         if command.name not in self._proxies and len(self._proxies) >= max_proxies:
-            message = f"the limit of {max_proxies} registered proxies is reached"
-            return Outcome(False, CODE_FULL, message)
+            return Outcome(
+                False, CODE_FULL, f"the limit of {max_proxies} proxies is reached"
+            )
         known = self._proxies.get(command.name)
         replaced = (
             () if known is None else _replaced_incarnations(known, command.incarnation)
         )
         if command.incarnation in replaced:
-            message = f"{command.name}: process {command.incarnation} was replaced"
-            return Outcome(False, CODE_CONFLICT, message)
+            return Outcome(
+                False, CODE_CONFLICT, f"this process of {command.name} was replaced"
+            )
         self._proxies[command.name] = ProxyRecord(
             command.name,
             command.incarnation,
@@ -110,8 +112,9 @@
         if group is not None and group.primary in (None, command.name):
             # Until a primary is chosen, any server may be the only one with all
             # acknowledged writes, so the promotion must keep querying it.
-            message = f"group {known.group} needs {known.name}"
-            return Outcome(False, CODE_CONFLICT, message)
+            return Outcome(
+                False, CODE_CONFLICT, f"group {known.group} needs {known.name}"
+            )
         del self._servers[command.name]
         self._record_ended(known)
         return Outcome(True, index=index)
--- a/packages/control/src/dogwoodspool_control/models.py
+++ b/packages/control/src/dogwoodspool_control/models.py
@@ -8,7 +8,7 @@
 
 
 class PromotionReason(StrEnum):
-    """Why a group changes its primary."""
+    """The reason of a promotion."""
 
     FAILED = "failed"
     PLANNED = "planned"
@@ -19,9 +19,9 @@
     """A registered proxy instance.
 
     Attributes:
-        incarnation: identity of its newest process.
-        replaced: identities of its latest earlier processes; one of them that
-            was frozen and wakes up is told that it is replaced.
+        incarnation: id of its latest process.
+        replaced: ids of its most recent earlier processes; a renewal of one that
+            resumes after a pause is rejected as replaced.
     """
 
     name: str
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Promotion:
-    """A change of primary that has begun and not ended.
+    """A change of primary in progress.
 
     Attributes:
         term: the new term.
-        old_term: the last term under which grants were given.
+        old_term: the last term for which grants were issued.
         old_primary: the primary of that term.
-        candidate: the replica that an operator asked for, if any.
-        chosen: the new primary once it is committed.
+        candidate: the replica that an operator requested, if any.
+        chosen: the new primary, once the choice is committed.
     """
 
     group: str
@@ -54,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What applying a command came to.
+    """The result of applying a command.
 
     Attributes:
-        code: reason of a rejection, empty for an accepted command.
+        code: code of a rejection; empty for an accepted command.
         index: log index from which the result is in force.
         version: version of a settings node, or term of a group.
     """
@@ -70,11 +70,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
-    """A grant as the leader has given it.
+class IssuedGrant:
+    """A grant that the leader has issued.
 
     Attributes:
-        expires_at: the leader's time from which on the proxy surely lost it.
+        expires_at: the leader's time from which the grant has certainly expired.
     """
 
     proxy: str
@@ -86,11 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """What a renewal is answered with.
+    """The response to a renewal.
 
     Attributes:
-        lease_ms: life of grants and shares from when the proxy sent the request.
-        expires_at: the leader's time at which both have surely run out.
+        lease_ms: validity of grants and shares, counted from the time at which the
+            proxy sent the request.
+        expires_at: the leader's time at which both have certainly expired.
         is_registered: whether the proxy may use base shares and grants.
     """
 
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A proxy's answer that it has given up its grant of a term."""
+    """A proxy's confirmation that it has released its grant of a term."""
 
     proxy: str
     incarnation: str
@@ -112,13 +113,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AckKnowledge:
-    """What is known of a group's acknowledged writes.
+class AcknowledgedWrites:
+    """The known acknowledged writes of a group.
 
     Attributes:
-        positions: acknowledged positions that a new primary must cover.
-        is_complete: no acknowledged write lies beyond ``positions``.
-        is_replicated: each acknowledged write is on one replica at least.
+        positions: acknowledged positions that a new primary must include.
+        is_complete: whether no acknowledged write is beyond ``positions``.
+        is_replicated: whether each acknowledged write is on at least one replica.
     """
 
     positions: tuple[Position, ...]
@@ -128,10 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceRefusal:
-    """Why no server can be promoted now.
+    """The reason why no server can be promoted yet.
 
     Attributes:
-        waiting_for: servers whose answer may resolve it.
+        waiting_for: servers whose answer may allow a choice.
     """
 
     reason: str
--- a/packages/control/src/dogwoodspool_control/node.py
+++ b/packages/control/src/dogwoodspool_control/node.py
@@ -1,4 +1,4 @@
-"""The voter's place in the replicated log, as the other modules use it."""
+"""Typed access to the replicated log and to the leadership of this voter."""
 
 from typing import Any, Protocol
 
@@ -17,11 +17,11 @@
 
 
 class LogNode(Protocol):
-    """What control uses of ``dogwoodspool_consensus.ConsensusNode``."""
+    """The part of ``dogwoodspool_consensus.ConsensusNode`` that control uses."""
 
     @property
     def leader_address(self) -> Address | None:
-        """Address of the leader as far as known."""
+        """Address of the leader, if known."""
         ...
 
     @property
@@ -30,20 +30,20 @@
         ...
 
     def propose(self, command: dict[str, Any], timeout: float) -> dict[str, Any]:
-        """Commit and apply a command; return what applying it returned."""
+        """Commit and apply a command; return the result of the state machine."""
         ...
 
     def leadership(self) -> Leadership | None:
-        """Return the leadership when this voter surely leads now."""
+        """Return the leadership if this voter is certain to be the leader now."""
         ...
 
     def confirm_read(self, timeout: float) -> int:
-        """Return once everything committed before the call is applied here."""
+        """Wait until every entry committed before the call is applied here."""
         ...
 
 
 class ControlNode:
-    """Propose typed commands and tell whether this voter may act as leader."""
+    """Propose typed commands and report whether this voter may act as leader."""
 
     def __init__(self, node: LogNode) -> None:
         self._node = node
@@ -51,7 +51,7 @@
 
     @property
     def leader(self) -> str:
-        """Address of the leader as far as known, else empty."""
+        """Address of the leader; empty when unknown."""
         address = self._node.leader_address
         return "" if address is None else str(address)
 
@@ -61,24 +61,25 @@
         return self._node.is_following
 
     def leadership(self) -> Leadership | None:
-        """Return the leadership when it is valid and all earlier state is here."""
+        """Return the leadership if it is valid and earlier entries are applied here."""
         current = self._node.leadership()
         if current is None or current.term != self._caught_up_term:
             return None
         return current
 
     def require_leadership(self) -> Leadership:
-        """Return the leadership; raise ``LeadershipLostError`` without one."""
+        """Return the leadership, or raise ``LeadershipLostError``."""
         current = self.leadership()
         if current is None:
             raise LeadershipLostError(self.leader)
         return current
 
     def catch_up(self) -> Leadership | None:
-        """Apply what earlier leaders committed, then act as leader.
+        """Wait until the entries of earlier leaders are applied; return the leadership.
 
-        A new leader holds every committed entry but may not have applied them
-        all. Grants given on such older state could be of a term that has ended.
+        A new leader holds every committed entry but may not have applied all of
+        them. Grants issued from such an older state could be for a term that has
+        ended.
         """
         current = self._node.leadership()
         if current is None or current.term == self._caught_up_term:
@@ -92,13 +93,13 @@
         return self.leadership()
 
     def confirm_read(self, timeout: float = CONFIRM_TIMEOUT) -> None:
-        """Make reads that follow see everything committed before this call.
+        """Ensure that later reads see every entry committed before this call.
 
         Args:
-            timeout: seconds in which a quorum must confirm it.
+            timeout: seconds within which a quorum must confirm the read.
 
         Raises:
-            ConsensusError: no quorum confirmed it.
+            ConsensusError: no quorum confirmed the read.
         """
         self._node.confirm_read(timeout)
 
@@ -107,7 +108,7 @@
 
         Raises:
             LeadershipLostError: another voter leads; the command has no effect.
-            CommandRejectedError: it is too large for the log.
+            CommandRejectedError: the command is too large for the log.
             OutcomeUnknownError: the command may or may not take effect.
         """
         try:
@@ -125,7 +126,7 @@
         """Commit a command that must be accepted.
 
         Raises:
-            CommandRejectedError: it was committed and rejected.
+            CommandRejectedError: the command was committed and rejected.
         """
         outcome = self.propose(command)
         if not outcome.is_accepted:
--- a/packages/control/src/dogwoodspool_control/options.py
+++ b/packages/control/src/dogwoodspool_control/options.py
@@ -36,7 +36,7 @@
 
 
 class ControlOptions(BaseModel):
-    """What the program is started with."""
+    """Options of the control program."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -55,14 +55,14 @@
     @classmethod
     def _parse_voters(cls, value: object) -> Mapping[str, Address]:
         if not isinstance(value, str):
-            raise ValueError("give ID=HOST:PORT, separated by commas")
+            raise ValueError("expected ID=HOST:PORT, separated by commas")
         voters = {}
         for part in value.split(","):
             name, separator, address = part.strip().partition("=")
             if not separator or not name:
                 raise ValueError(f"{part!r} is not ID=HOST:PORT")
             if name in voters:
-                raise ValueError(f"{name} is given twice")
+                raise ValueError(f"voter {name} is listed more than once")
             voters[name] = Address.parse(address)
         return voters
 
@@ -71,5 +71,5 @@
     def _check_level(cls, value: str) -> str:
         level = value.upper()
         if level not in {"TRACE", "DEBUG", "INFO", "WARNING", "ERROR"}:
-            raise ValueError("give TRACE, DEBUG, INFO, WARNING or ERROR")
+            raise ValueError("expected TRACE, DEBUG, INFO, WARNING or ERROR")
         return level
--- a/packages/control/src/dogwoodspool_control/progress.py
+++ b/packages/control/src/dogwoodspool_control/progress.py
@@ -1,4 +1,4 @@
-"""What a promotion in progress is doing, for operators."""
+"""Progress of promotions, as shown to operators."""
 
 import threading
 from dataclasses import dataclass
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgressReport:
-    """One promotion as an operator sees it.
+    """The progress of one promotion.
 
     Attributes:
-        step: what is being done.
-        waiting_for: proxies or servers whose answer is missing.
+        step: the current step.
+        waiting_for: proxies or servers that have not answered.
     """
 
     group: str
@@ -23,7 +23,7 @@
 
 
 class PromotionProgress:
-    """Hold the present step; log what it waits for once per second."""
+    """Hold the current step and log what it waits for once per second."""
 
     def __init__(self, group: str, clock: Clock) -> None:
         self._clock = clock
@@ -33,14 +33,14 @@
 
     @property
     def report(self) -> ProgressReport:
-        """The present step."""
+        """The current step."""
         with self._lock:
             return self._report
 
-    def note(
+    def record_step(
         self, step: str, waiting_for: tuple[str, ...] = (), reason: str = ""
     ) -> None:
-        """Record the present step and what it waits for."""
+        """Record the current step and what it waits for."""
         now = self._clock.now()
         with self._lock:
             if step != self._report.step:
--- a/packages/control/src/dogwoodspool_control/promotion/candidates.py
+++ b/packages/control/src/dogwoodspool_control/promotion/candidates.py
@@ -7,7 +7,7 @@
 from dogwoodspool_sessions import is_covered, is_lost
 from expression import Error, Ok, Result
 
-from ..models import AckKnowledge, ChoiceRefusal, Promotion, PromotionReason
+from ..models import AcknowledgedWrites, ChoiceRefusal, Promotion, PromotionReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     promotion: Promotion
     servers: Sequence[BackendServer]
     statuses: Mapping[str, ServerStatus]
-    acks: AckKnowledge
+    acks: AcknowledgedWrites
     term_starts: Sequence[Position]
     may_keep_primary: bool
     must_catch_up: bool = False
--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -80,7 +80,9 @@
             progress = self._release.progress(proxies)
             if progress.is_done:
                 return
-            self._progress.note("release", progress.waiting_for, "grants may be valid")
+            self._progress.record_step(
+                "release", progress.waiting_for, "grants may be valid"
+            )
             self._release.wait_for_answer(min(progress.seconds, RELEASE_RETRY_SECONDS))
 
     def _await_choice(self) -> Choice:
@@ -157,7 +159,7 @@
         old_primary = servers.get(promotion.old_primary)
         if old_primary is None:
             return False
-        self._progress.note("fence", (old_primary.name,))
+        self._progress.record_step("fence", (old_primary.name,))
         try:
             self._changer.fence(old_primary, promotion.term)
         except BackendError as error:
@@ -166,7 +168,7 @@
         return True
 
     def _note_refusal(self, refusal: ChoiceRefusal) -> None:
-        self._progress.note("choice", refusal.waiting_for, refusal.reason)
+        self._progress.record_step("choice", refusal.waiting_for, refusal.reason)
         # A proxy that could not be reached before may tell what it acknowledged.
         self._release.ask(self._parts.state.proxies)
         self._parts.clock.sleep(STATUS_POLL_SECONDS)
--- a/packages/control/src/dogwoodspool_control/promotion/detector.py
+++ b/packages/control/src/dogwoodspool_control/promotion/detector.py
@@ -9,7 +9,7 @@
 from dogwoodspool_common import Clock, Role
 from dogwoodspool_common.const import MILLISECONDS
 
-from ..const import FRESH_RENEW_INTERVALS, MAX_SMOOTH_TICKS, MIN_OBSERVERS, TICK_SECONDS
+from ..const import FRESH_RENEW_INTERVALS, MAX_TICK_GAP, MIN_OBSERVERS, TICK_SECONDS
 from ..models import ProxyRecord
 
 
@@ -174,7 +174,7 @@
         now = self._clock.now()
         if self._last_tick is None:
             return
-        if now - self._last_tick > MAX_SMOOTH_TICKS * TICK_SECONDS:
+        if now - self._last_tick > MAX_TICK_GAP * TICK_SECONDS:
             self._last_tick = now
             self._forget()
 
--- a/packages/control/src/dogwoodspool_control/promotion/promote_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/promote_step.py
@@ -45,7 +45,7 @@
             server = self._parts.state.servers.get(self._promotion.chosen or "")
             if server is None:
                 return None
-            self._progress.note("promote", (server.name,))
+            self._progress.record_step("promote", (server.name,))
             status = self._promote(server)
             if status is not None:
                 return status
--- a/packages/control/src/dogwoodspool_control/readiness.py
+++ b/packages/control/src/dogwoodspool_control/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this voter can serve, for the balancer."""
+"""Readiness of this voter, for the load balancer."""
 
 import threading
 
@@ -11,10 +11,10 @@
 
 
 class Readiness:
-    """Remember for a moment whether a quorum confirmed a read.
+    """Cache whether a quorum confirmed a read.
 
-    The endpoint is open to everybody, so that however often it is asked, the
-    quorum is asked by one thread at a time and once per ``READINESS_SECONDS``.
+    The endpoint needs no signature, so anyone can call it. However often it is called,
+    the quorum is queried by one thread at a time and once per ``READINESS_SECONDS``.
     """
 
     def __init__(self, clock: Clock, node: ControlNode) -> None:
@@ -25,7 +25,7 @@
         self._is_ready = False
 
     def is_ready(self) -> bool:
-        """Tell whether a read was confirmed lately."""
+        """Return whether a read was confirmed recently."""
         is_due = self._clock.now() - self._checked_at >= READINESS_SECONDS
         if is_due and self._lock.acquire(blocking=False):
             try:
--- a/packages/control/src/dogwoodspool_control/runtime.py
+++ b/packages/control/src/dogwoodspool_control/runtime.py
@@ -1,4 +1,4 @@
-"""Wire one voter's parts together."""
+"""Construction of the components of one voter."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -34,11 +34,13 @@
 
 
 class ControlRuntime:
-    """Hold the parts of one voter; the program gives it clock and peers.
+    """Build and run the components of one voter.
+
+    The program provides the clock and the connections to other processes.
 
     Args:
-        consensus: the voter's log, whose machine is ``state``.
-        secret_key: key of the fingerprints that stand for secrets.
+        consensus: the consensus node, whose state machine is ``state``.
+        secret_key: key of the fingerprints that are shown in place of secrets.
     """
 
     def __init__(
@@ -142,19 +144,19 @@
 
     @property
     def routes(self) -> list[Route]:
-        """All endpoints of the voter."""
+        """All routes of the voter."""
         return self._routes
 
     def set_up(self) -> None:
-        """Begin to act as soon as this voter leads."""
+        """Start the threads; they act while this voter is the leader."""
         self._queue.set_up()
         self._loop.set_up()
 
     def unload(self) -> None:
         """Stop; promotions in progress are left to the next leader.
 
-        The consensus node is unloaded before, so that running promoters notice
-        that they no longer lead.
+        The consensus node must be unloaded first, so that running promotions notice
+        that this voter is no longer the leader.
         """
         self._loop.unload()
         self._queue.unload()
--- a/packages/control/src/dogwoodspool_control/state.py
+++ b/packages/control/src/dogwoodspool_control/state.py
@@ -58,11 +58,11 @@
 
 
 class ControlState:
-    """Apply the log's commands, in order, on every voter.
+    """Apply the commands of the replicated log, in order, on every voter.
 
-    What a command does depends on nothing but the commands before it. Commands
-    are applied by one thread; any thread may read, and reads return values that
-    no later command changes.
+    The effect of a command depends only on the commands before it. Commands are
+    applied by one thread. Any thread may read; the values that it gets are not
+    changed by later commands.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -80,7 +80,7 @@
 
     @property
     def version(self) -> int:
-        """Log index of the last command that changed something."""
+        """Log index of the last command that changed the state."""
         with self._changed:
             return self._version
 
@@ -104,29 +104,29 @@
 
     @property
     def servers(self) -> dict[str, BackendServer]:
-        """Known backend servers by name."""
+        """Recorded backend servers by name."""
         with self._changed:
             return dict(self._servers.servers)
 
     @property
     def settings(self) -> SettingsState:
-        """The settings in force; only read by others than ``apply``."""
+        """The settings in force; changed only by ``apply``."""
         return self._settings
 
     @property
     def document(self) -> DocumentSnapshot:
-        """The newest document that came from outside."""
+        """The latest document of an external system."""
         with self._changed:
             return self._document.snapshot()
 
     @property
     def ended_servers(self) -> dict[str, int]:
-        """The newest incarnation that has ended, by backend server."""
+        """The latest incarnation that has ended, by backend server."""
         with self._changed:
             return dict(self._servers.ended)
 
     def describes_group(self, name: str) -> bool:
-        """Tell whether the settings tree has a node of a database group."""
+        """Return whether the settings tree has a node for a database group."""
         with self._changed:
             return self._settings.tree.has_group(name)
 
@@ -136,7 +136,7 @@
             return self._groups.groups.get(name)
 
     def change_outcome(self, change_id: str) -> Outcome | None:
-        """Return the first outcome of an operator's promotion."""
+        """Return the first outcome of an operator's promotion, by change id."""
         with self._changed:
             return self._groups.change_outcomes.get(change_id)
 
@@ -153,12 +153,12 @@
         ]
 
     def view(self) -> ControlView:
-        """Return the state that proxies follow."""
+        """Return the complete view of the state that proxies follow."""
         with self._changed:
             return self._views.view(self._version)
 
     def view_since(self, version: int) -> ControlView:
-        """Return what proxies that follow from a version have to change."""
+        """Return the delta of the view from a version that a proxy has."""
         with self._changed:
             return self._views.view_since(version, self._version)
 
@@ -168,26 +168,26 @@
             return self._settings.tree.nodes()
 
     def explain_settings(self, path: str) -> list[ExplainedValue]:
-        """Return each value in force at a node with where it comes from.
+        """Return each effective value of a node with the level that defines it.
 
         Raises:
-            SettingsTreeError: there is no such node.
+            SettingsTreeError: the tree has no such node.
         """
         with self._changed:
             return self._settings.tree.explain(path)
 
     def settings_history(self, limit: int, path: str | None) -> list[HistoryEntry]:
-        """Return the latest accepted changes, the newest first, redacted."""
+        """Return the latest accepted changes, newest first, with secrets redacted."""
         with self._changed:
             return self._settings.tree.history(limit, path)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after each change; it must not wait for anything."""
+        """Register a function to call after each change; it must not block."""
         with self._changed:
             self._listeners.append(listener)
 
     def wait_newer(self, after: int, timeout: float) -> bool:
-        """Wait until the version is past ``after``; False when time ran out."""
+        """Wait until the version exceeds ``after``; return False on a timeout."""
         deadline = self._clock.now() + timeout
         with self._changed:
             while self._version <= after:
@@ -208,7 +208,7 @@
             if outcome.is_accepted and outcome.index == index:
                 self._version = index
                 self._views.record(index, self._view_items())
-                self._note_change()
+                self._notify_change()
             return encode_outcome(outcome)
 
     def snapshot(self) -> dict[str, Any]:
@@ -231,21 +231,21 @@
             return fields
 
     def restore(self, snapshot: dict[str, Any]) -> None:
-        """Replace the whole state by a snapshot's."""
-        held = _snapshot_adapter.validate_python(snapshot)
+        """Replace the whole state by that of a snapshot."""
+        restored = _snapshot_adapter.validate_python(snapshot)
         with self._changed:
             self._groups = GroupTable(
-                held.groups, held.promotions, held.change_outcomes
+                restored.groups, restored.promotions, restored.change_outcomes
             )
-            self._proxies = ProxyTable(held.proxies)
-            self._servers = ServerTable(held.servers, held.ended_servers)
-            self._settings = SettingsState(held.settings)
-            self._document = DocumentState.restore(held.document)
-            self._version = held.version
-            self._views.reset(held.version, self._view_items())
-            self._note_change()
-
-    def _note_change(self) -> None:
+            self._proxies = ProxyTable(restored.proxies)
+            self._servers = ServerTable(restored.servers, restored.ended_servers)
+            self._settings = SettingsState(restored.settings)
+            self._document = DocumentState.restore(restored.document)
+            self._version = restored.version
+            self._views.reset(restored.version, self._view_items())
+            self._notify_change()
+
+    def _notify_change(self) -> None:
         self._changed.notify_all()
         for listener in self._listeners:
             listener()
@@ -291,7 +291,7 @@
 
     def _issue_token(self, index: int, command: IssueToken) -> Outcome:
         if command.group not in self._groups.groups:
-            return Outcome(False, CODE_INVALID, f"no group {command.group}")
+            return Outcome(False, CODE_INVALID, f"unknown group {command.group}")
         return Outcome(True, version=index)
 
     def _apply_to_group(
@@ -323,5 +323,7 @@
             servers=self.servers,
             proxies=self.proxies,
             settings={node.path: node for node in self._settings.tree.nodes()},
-            endpoints={one.name: one for one in self._document.endpoints},
+            endpoints={
+                endpoint.name: endpoint for endpoint in self._document.endpoints
+            },
         )
--- a/packages/control/src/dogwoodspool_control/status.py
+++ b/packages/control/src/dogwoodspool_control/status.py
@@ -1,4 +1,4 @@
-"""What control shows to operators."""
+"""Status and metrics of a voter for operators."""
 
 from dataclasses import asdict
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class StatusReport:
-    """Build the status from the parts that hold it."""
+    """Build the status and the metrics from the components of the voter."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
     def build(self) -> dict[str, Any]:
         """Return the status as JSON values.
 
-        Renewals and promotions' steps are known to the leader only; on another
-        voter renewals are missing and promotions show their committed step.
+        Only the leader knows the renewals and the current steps of promotions; other
+        voters omit renewals and show the committed step of each promotion.
         """
         view = self._state.view().model_dump(mode="json")
         return {
@@ -60,7 +60,7 @@
         return [asdict(member) for member in diagnostics.members]
 
     def metrics(self) -> str:
-        """Return counters and gauges, one ``name value`` per line."""
+        """Return the counters and gauges, one ``name value`` pair per line."""
         diagnostics = self._consensus.diagnostics()
         values = {
             "dogwoodspool_control_is_leader": int(diagnostics.has_lease),
--- a/packages/control/src/dogwoodspool_control/ticking.py
+++ b/packages/control/src/dogwoodspool_control/ticking.py
@@ -1,4 +1,4 @@
-"""A thread that looks at everything once per tick."""
+"""Thread that runs the periodic work of a leader."""
 
 import threading
 from abc import ABC, abstractmethod
@@ -11,10 +11,10 @@
 
 
 class LeaderTicker(ABC):
-    """Base of what a leader does on its own: a look per tick, or when woken.
+    """Base class for the periodic work of a leader, run per tick and when woken.
 
-    Nothing in a look waits for a commit or a backend server, so that a gap between
-    two looks means that the process itself stood still.
+    No work in a tick waits for a commit or a backend server, so that a gap between
+    two ticks means that the process itself was paused.
     """
 
     def __init__(
@@ -38,43 +38,43 @@
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def set_up(self) -> None:
-        """Begin to tick."""
+        """Start the thread."""
         self._state.add_listener(self.wake)
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop ticking."""
+        """Stop the thread."""
         with self._changed:
             self._is_closed = True
             self._changed.notify_all()
         self._thread.join()
 
     def wake(self) -> None:
-        """Look again without waiting for the next tick, as callers may be waiting."""
+        """Run the next tick at once, because callers may be waiting."""
         with self._changed:
             self._is_woken = True
             self._changed.notify_all()
 
     def tick(self) -> None:
-        """Look at everything once, where this voter leads and has caught up."""
+        """Run the periodic work if this voter is the leader and has caught up."""
         leadership = self._node.catch_up()
         if leadership is None:
-            # The leader measures changes of primary.
+            # Only the leader measures the phases of promotions.
             self._timeline.keep_only(())
             return
         if leadership.term != self._leadership_term:
             self._leadership_term = leadership.term
             log_event("leadership_began", term=leadership.term)
             self.begin_leadership()
-        self.look()
+        self.run_as_leader()
 
     @abstractmethod
     def begin_leadership(self) -> None:
-        """Forget what was gathered before: others have led and acted since."""
+        """Discard earlier observations, as other leaders may have acted since."""
 
     @abstractmethod
-    def look(self) -> None:
-        """Look at everything once as the leader."""
+    def run_as_leader(self) -> None:
+        """Run the periodic work of the leader once."""
 
     def _run(self) -> None:
         while True:
@@ -90,6 +90,6 @@
         try:
             self.tick()
         except Exception as error:  # noqa: BLE001
-            # A fault in one look must not end failure detection for good; the
-            # next tick looks at everything afresh.
+            # An error in one tick must not stop failure detection; the next tick
+            # evaluates everything again.
             log_event("tick_failed", level="ERROR", error=repr(error))
--- a/packages/failover/src/dogwoodspool_failover/change.py
+++ b/packages/failover/src/dogwoodspool_failover/change.py
@@ -100,7 +100,7 @@
         )
         chosen = choose_successor(given)
         if chosen.is_error():
-            self._progress.note(
+            self._progress.record_step(
                 "handover", chosen.error.waiting_for, chosen.error.reason
             )
             return None
@@ -122,7 +122,7 @@
         )
         if not is_handover_safe(given, successor, paused):
             waiting = tuple(one.name for one in others if one.name not in paused)
-            self._progress.note("handover", waiting, "replicas are not paused")
+            self._progress.record_step("handover", waiting, "replicas are not paused")
             return None
         return Choice(successor, reached[successor].received)
 
@@ -145,7 +145,7 @@
             if chosen.is_ok():
                 return chosen.ok
             refusal = chosen.error
-            self._progress.note("freeze", refusal.waiting_for, refusal.reason)
+            self._progress.record_step("freeze", refusal.waiting_for, refusal.reason)
             if self._parts.state.promotion(self._group) != promotion:
                 return None
             self._parts.clock.sleep(FREEZE_RETRY_SECONDS)
@@ -202,7 +202,7 @@
         while clock.now() < deadline:
             self._parts.node.require_leadership()
             token = self._issue_token()
-            self._progress.note("promote", (server.name,))
+            self._progress.record_step("promote", (server.name,))
             try:
                 self._parts.service.promote(
                     server, self._parts.holder, token, PROMOTION_CALL_TIMEOUT
--- a/packages/failover/src/dogwoodspool_failover/loop.py
+++ b/packages/failover/src/dogwoodspool_failover/loop.py
@@ -57,7 +57,7 @@
         for name in self._state.groups:
             self._changes.resume_replicas(name)
 
-    def look(self) -> None:
+    def run_as_leader(self) -> None:
         """Queue the commands that are due and go on with changes of primary."""
         for command in self._departures.due_commands():
             if isinstance(command, BeginPromotion):
--- a/tests/control/fakes.py
+++ b/tests/control/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the control library."""
+"""Fakes of the interfaces that the control library uses."""
 
 import threading
 import time
@@ -45,13 +45,13 @@
 GROUP = "chat"
 SERVERS = ("s1", "s2", "s3")
 DOMAINS = ("fd1", "fd2", "fd3")
-FAR = 1e9
+FAR_FUTURE = 1e9
 CLOCK_STEP = 0.01
-REAL_SECONDS = 30.0
+MAX_REAL_SECONDS = 30.0
 
 
 class FakeLog:
-    """A log whose entries are committed and applied by all voters at once."""
+    """A log whose entries all voters commit and apply immediately."""
 
     def __init__(self) -> None:
         self.index = 0
@@ -63,19 +63,21 @@
 
 
 class FakeNode:
-    """One voter; ``cut_before`` makes it lose its leadership at a command."""
+    """One voter; it loses its leadership where ``loses_leadership_before`` is true."""
 
     def __init__(self, log: FakeLog, state: ControlState) -> None:
         self._log = log
         self._state = state
         self.current: Leadership | None = None
-        self.cut_before: Callable[[dict[str, Any]], bool] = lambda _command: False
+        self.loses_leadership_before: Callable[[dict[str, Any]], bool] = (
+            lambda _command: False
+        )
         self.leader_address = None
         self.is_following = True
         log.states.append(state)
 
     def propose(self, command: dict[str, Any], timeout: float) -> dict[str, Any]:
-        if self.cut_before(command):
+        if self.loses_leadership_before(command):
             self.current = None
         if self.current is None:
             raise NotLeaderError(None)
@@ -90,7 +92,7 @@
 
 @dataclass
 class FakeServer:
-    """A backend server that may be silent or hold its position."""
+    """A backend server with a given position, which may be silent."""
 
     position: Position
     role: Role = Role.REPLICA
@@ -101,7 +103,7 @@
 
 @dataclass
 class FakeServers:
-    """The servers of one group behind the role changer's interface."""
+    """The servers of one group, with the interface of a role changer."""
 
     servers: dict[str, FakeServer]
     calls: list[tuple[str, str, int]] = field(default_factory=list)
@@ -155,7 +157,7 @@
 
 @dataclass
 class FakeProxies:
-    """Proxies that answer a release with what they acknowledged."""
+    """Proxies that answer a release with their acknowledged positions."""
 
     acked: dict[str, Position | None] = field(default_factory=dict)
     silent: set[str] = field(default_factory=set)
@@ -171,7 +173,7 @@
 
 
 class Voter:
-    """One voter's parts around a fake log."""
+    """The components of one voter around a fake log."""
 
     def __init__(self, clock: ManualClock, log: FakeLog) -> None:
         self.clock = clock
@@ -184,11 +186,11 @@
 
     def lead(self, term: int) -> None:
         """Make this voter the leader from now on."""
-        self.log_node.current = Leadership(term, self.clock.now(), FAR)
+        self.log_node.current = Leadership(term, self.clock.now(), FAR_FUTURE)
         self.node.catch_up()
 
     def stop_leading(self) -> None:
-        """Take the leadership away."""
+        """End the leadership of this voter."""
         self.log_node.current = None
 
     def commit(self, command: Command) -> Outcome:
@@ -202,7 +204,7 @@
         executor: ThreadPoolExecutor,
         is_failed: bool = True,
     ) -> PromotionParts:
-        """Return the parts of promotions."""
+        """Return the dependencies of promotions."""
         return PromotionParts(
             clock=self.clock,
             node=self.node,
@@ -218,7 +220,7 @@
 
 
 def server(name: str, failure_domain: str = "fd1", **changes: Any) -> BackendServer:
-    """Return a backend server of the test's group."""
+    """Return a backend server of the test group."""
     known = BackendServer(
         name, GROUP, failure_domain, Address("127.0.0.1", 4000), 3, 20
     )
@@ -236,7 +238,7 @@
 
 
 def change_root(voter: Voter, version: int, **overrides: Any) -> Outcome:
-    """Commit a change of the settings' root."""
+    """Commit a change of the root of the settings tree."""
     change_id = f"root-{version}"
     return voter.commit(ChangeSettings(change_id, "/", version, overrides, "test"))
 
@@ -269,16 +271,16 @@
 def observation(
     name: str, unreachable_ms: float = 0, status: ServerStatus | None = None
 ) -> Observation:
-    """Return how a proxy sees a server."""
+    """Return a proxy's observation of a server."""
     message = None if status is None else StatusMessage.of(status)
     return Observation(server=name, unreachable_ms=unreachable_ms, status=message)
 
 
 class SteppedClock(ManualClock):
-    """A paused clock that knows its sleepers.
+    """A manual clock that knows its sleeping threads.
 
-    It is moved only while a sleeper is not due yet, so that time does not run
-    away from threads that a busy machine lets wait.
+    It advances only while every sleep is still pending, so that time does not pass
+    faster than threads that are delayed on a busy machine can follow.
     """
 
     def __init__(self) -> None:
@@ -297,7 +299,7 @@
                 self._deadlines.remove(deadline)
 
     def step(self, seconds: float) -> bool:
-        """Move on when all threads at work sleep; tell whether it moved."""
+        """Advance if threads sleep and none is due; return whether it advanced."""
         with self._lock:
             if not self._deadlines or min(self._deadlines) <= self.now():
                 return False
@@ -308,12 +310,12 @@
 def run_advancing(
     clock: SteppedClock, work: Callable[[], object], seconds: float
 ) -> bool:
-    """Run work in a thread while the clock moves; tell whether it ended in time."""
+    """Run work in a thread while the clock advances; return whether it finished."""
     thread = threading.Thread(target=work, daemon=True)
     thread.start()
     deadline = clock.now() + seconds
-    give_up_at = time.monotonic() + REAL_SECONDS
-    while clock.now() < deadline and time.monotonic() < give_up_at:
+    real_deadline = time.monotonic() + MAX_REAL_SECONDS
+    while clock.now() < deadline and time.monotonic() < real_deadline:
         if not clock.step(CLOCK_STEP):
             thread.join(0.001)
         if not thread.is_alive():
--- a/tests/control/grants/test_grants.py
+++ b/tests/control/grants/test_grants.py
@@ -8,7 +8,7 @@
 from dogwoodspool_control.errors import LeadershipLostError, StaleIncarnationError
 from dogwoodspool_control.models import PromotionReason, Release
 
-from ..fakes import FAR, GROUP, FakeLog, Voter, change_root, populate, renewal
+from ..fakes import FAR_FUTURE, GROUP, FakeLog, Voter, change_root, populate, renewal
 
 
 class GrantTableTests(unittest.TestCase):
@@ -54,7 +54,7 @@
         It would send a grant after another voter began to lead. The second check
         of the lease, after the grant was computed, stops it.
         """
-        answers = iter([Leadership(1, 0.0, FAR), None])
+        answers = iter([Leadership(1, 0.0, FAR_FUTURE), None])
         self.voter.log_node.leadership = lambda: next(answers, None)  # type: ignore[method-assign]
         with self.assertRaises(LeadershipLostError):
             self.table.renew(renewal("p1"), 0.0)
--- a/tests/control/promotion/test_candidates.py
+++ b/tests/control/promotion/test_candidates.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from dogwoodspool_common import BackendServer, Position, Role, ServerStatus
-from dogwoodspool_control.models import AckKnowledge, Promotion, PromotionReason
+from dogwoodspool_control.models import AcknowledgedWrites, Promotion, PromotionReason
 from dogwoodspool_control.promotion.candidates import ChoiceInput, choose_candidate
 from expression import Result
 
@@ -13,9 +13,11 @@
 FAILED = Promotion(GROUP, 3, 2, "s1", PromotionReason.FAILED)
 PLANNED = Promotion(GROUP, 3, 2, "s1", PromotionReason.PLANNED, candidate="s2")
 STARTS = (Position(2, 10),)
-ALL_KNOWN = AckKnowledge((Position(2, 20),), is_complete=True, is_replicated=False)
-REPLICATED = AckKnowledge((), is_complete=False, is_replicated=True)
-IN_DOUBT = AckKnowledge((), is_complete=False, is_replicated=False)
+ALL_KNOWN = AcknowledgedWrites(
+    (Position(2, 20),), is_complete=True, is_replicated=False
+)
+REPLICATED = AcknowledgedWrites((), is_complete=False, is_replicated=True)
+IN_DOUBT = AcknowledgedWrites((), is_complete=False, is_replicated=False)
 
 
 @dataclass(frozen=True)
@@ -23,7 +25,7 @@
     """One row: answers by server, and the expected choice."""
 
     name: str
-    acks: AckKnowledge
+    acks: AcknowledgedWrites
     answers: dict[str, Position]
     chosen: str | None
     promotion: Promotion = FAILED
@@ -46,7 +48,7 @@
     ),
     Case(
         "a known acknowledgement beyond all replicas",
-        AckKnowledge((Position(2, 30),), is_complete=False, is_replicated=True),
+        AcknowledgedWrites((Position(2, 30),), is_complete=False, is_replicated=True),
         {"s2": Position(2, 20), "s3": Position(2, 21)},
         None,
     ),
--- a/tests/control/promotion/test_promotion.py
+++ b/tests/control/promotion/test_promotion.py
@@ -135,10 +135,10 @@
         server must not take the same one: two lineages would share a term.
         """
         self.voter.commit(BEGIN)
-        self.voter.log_node.cut_before = cut_before("end_promotion")
+        self.voter.log_node.loses_leadership_before = cut_before("end_promotion")
         self.assertTrue(self.promote(self.voter))
         self.servers.servers["s2"].is_silent = True
-        self.voter.log_node.cut_before = lambda _command: False
+        self.voter.log_node.loses_leadership_before = lambda _command: False
         self.voter.lead(term=2)
         self.assertFalse(self.promote(self.voter, seconds=5.0))
         self.servers.servers["s1"].is_silent = False
@@ -175,7 +175,7 @@
                 self.voter.lead(term=2 * number + 1)
                 self.other.stop_leading()
                 self.voter.commit(BeginPromotion(GROUP, term, PromotionReason.FAILED))
-                self.voter.log_node.cut_before = cut_before(kind)
+                self.voter.log_node.loses_leadership_before = cut_before(kind)
                 self.assertTrue(self.promote(self.voter))
                 phase = self.other.state.groups[GROUP].phase
                 self.assertIs(phase, Phase.PROMOTING)
@@ -183,7 +183,7 @@
                 self.assertTrue(self.promote(self.other))
                 self.assertIs(self.voter.state.groups[GROUP].phase, Phase.STEADY)
                 self.assertEqual(self.voter.state.groups[GROUP].term, term + 1)
-                self.voter.log_node.cut_before = lambda _command: False
+                self.voter.log_node.loses_leadership_before = lambda _command: False
                 self.servers.servers["s1"].is_silent = False
                 self.servers.servers["s1"].role = Role.REPLICA
                 self.servers.servers["s1"].position = Position(2, 18)
--- a/tests/control/test_runtime.py
+++ b/tests/control/test_runtime.py
@@ -1,4 +1,4 @@
-"""Tests of one voter with all its parts, its log on a disk."""
+"""Tests of one voter with all its components and its log on disk."""
 
 import random
 import tempfile
@@ -39,11 +39,11 @@
     server,
 )
 
-PATIENCE_SECONDS = 30.0
+GRANT_TIMEOUT_SECONDS = 30.0
 
 
 class RunningVoter:
-    """One voter that is its own quorum, with fake proxies and servers."""
+    """A single-voter control group with fake proxies and servers."""
 
     def __init__(self, folder: Path) -> None:
         clock = SystemClock()
@@ -87,8 +87,8 @@
         self.runtime.unload()
 
     def renew_all(self) -> list[dict[str, Any]]:
-        """Renew as one proxy of each failure domain, with what it sees."""
-        answers = []
+        """Renew as one proxy of each failure domain, with its observations."""
+        responses = []
         for number, domain in enumerate(DOMAINS, start=1):
             message = renewal(
                 f"p{number}",
@@ -98,8 +98,8 @@
             )
             body = message.model_dump(mode="json")
             request = JsonRequest(PATH_RENEW, {}, body)
-            answers.append(dict(self._routes["POST", PATH_RENEW](request).body))
-        return answers
+            responses.append(dict(self._routes["POST", PATH_RENEW](request).body))
+        return responses
 
     def status(self) -> dict[str, Any]:
         request = JsonRequest(PATH_STATUS, {}, None)
@@ -129,7 +129,7 @@
 
 
 class ControlRuntimeTests(unittest.TestCase):
-    """From the first renewal to a failover, and over a restart."""
+    """First renewals, a failover and a restart."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -142,19 +142,19 @@
         return voter
 
     def renew_until_granted(self, voter: RunningVoter, term: int) -> None:
-        """Renew until all three proxies hold the grant of a term."""
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        """Renew until all three proxies have the grant of a term."""
+        deadline = time.monotonic() + GRANT_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
-            grants = [answer.get("grants") for answer in voter.renew_all()]
+            grants = [response.get("grants") for response in voter.renew_all()]
             if all(grant and grant[0]["term"] == term for grant in grants):
                 return
             time.sleep(0.1)
         self.fail(f"no grants of term {term}: {voter.status()}")
 
-    def test_a_failed_primary_is_replaced_and_a_restart_forgets_nothing(self) -> None:
-        """A primary dies; every proxy sees it; callers wait for the next one.
+    def test_failed_primary_is_replaced_and_a_restart_keeps_the_state(self) -> None:
+        """A primary fails, every proxy observes it, and callers wait for the next one.
 
-        Then the voter itself restarts from its files and must know the new term.
+        The voter then restarts from its files and must know the new term.
         """
         voter = self.start()
         try:
@@ -167,9 +167,9 @@
         self.assertEqual(status["groups"][0]["term_starts"], [{"term": 2, "offset": 5}])
         phases = status["failovers"][0]["phases_ms"]
         self.assertLessEqual(phases["released"], phases["ended"])
-        again = self.start()
+        restarted = self.start()
         try:
-            self.renew_until_granted(again, term=2)
-            self.assertEqual(again.status()["groups"], status["groups"])
+            self.renew_until_granted(restarted, term=2)
+            self.assertEqual(restarted.status()["groups"], status["groups"])
         finally:
-            again.unload()
+            restarted.unload()
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -59,11 +59,11 @@
 
 
 class ControlStateTests(unittest.TestCase):
-    """Voters that apply the same commands hold the same state."""
+    """Voters that apply the same commands have the same state."""
 
     @settings(max_examples=150, derandomize=True, deadline=None)
     @given(commands=st.lists(COMMANDS, max_size=25), cut=st.integers(0, 25))
-    def test_a_restored_voter_goes_on_as_the_others(
+    def test_restored_voter_stays_equal_to_the_others(
         self, commands: list[Command], cut: int
     ) -> None:
         one, other = (ControlState(ManualClock()) for _ in range(2))
@@ -80,7 +80,7 @@
 
     @settings(max_examples=150, derandomize=True, deadline=None)
     @given(commands=st.lists(COMMANDS, max_size=25))
-    def test_terms_grow_and_a_steady_group_has_a_primary(
+    def test_terms_increase_and_a_steady_group_has_a_primary(
         self, commands: list[Command]
     ) -> None:
         state = ControlState(ManualClock())
@@ -99,10 +99,11 @@
             if group.phase is Phase.STEADY:
                 self.assertIsNotNone(group.primary)
 
-    def test_a_snapshot_holds_what_nothing_else_tells(self) -> None:
-        """A voter starts from a snapshot after many changes have passed it by.
+    def test_snapshot_keeps_lease_bound_and_change_outcomes(self) -> None:
+        """A voter starts from a snapshot after it has missed many changes.
 
-        It must know the longer lease of before, and what an operator was told.
+        It must know the longer lease of earlier settings, and the outcome of an
+        operator's change that is resent.
         """
         rejected = BeginPromotion(
             GROUP, 1, PromotionReason.PLANNED, None, change_id="c1"
@@ -121,47 +122,47 @@
         again = restored.apply(5, encode_command(rejected))
         self.assertFalse(again["is_accepted"])
 
-    def test_a_change_sent_again_gets_its_first_answer(self) -> None:
-        """An operator's answer is lost, other changes follow, the change is resent.
+    def test_change_resent_after_others_gets_its_first_outcome(self) -> None:
+        """An operator's response is lost, and the change is resent after others.
 
-        The answer to the resend named a later version of the view, and the resend
-        counted as a new version although it changed nothing.
+        The response to the resend must name the version of the first one, and the
+        resend must not create a new version, as it changes nothing.
         """
         first = ChangeSettings("c1", "/", 0, {"deadline_ms": 900}, "ana")
         other = ChangeSettings("c2", "/", 1, {"deadline_ms": 800}, "ben")
         state, restored = (ControlState(ManualClock()) for _ in range(2))
-        answer = state.apply(1, encode_command(first))
+        outcome = state.apply(1, encode_command(first))
         state.apply(2, encode_command(other))
         restored.restore(state.snapshot())
         for voter in (state, restored):
-            self.assertEqual(voter.apply(3, encode_command(first)), answer)
+            self.assertEqual(voter.apply(3, encode_command(first)), outcome)
             self.assertEqual(voter.version, 2)
 
-    def test_a_server_that_a_promotion_may_need_is_not_removed(self) -> None:
+    def test_server_that_a_promotion_may_need_is_not_removed(self) -> None:
         state = ControlState(ManualClock())
         begin = BeginPromotion(GROUP, 1, PromotionReason.FAILED)
-        setting_up: list[Command] = [
+        setup: list[Command] = [
             RecordServer(server("a")),
             RecordServer(server("b")),
             BootstrapGroup(GROUP, 1, "a"),
         ]
-        for index, command in enumerate(setting_up, start=1):
+        for index, command in enumerate(setup, start=1):
             state.apply(index, encode_command(command))
         remove = [encode_command(RemoveServer(name)) for name in ("a", "b")]
         self.assertEqual(state.apply(4, remove[0])["code"], "conflict")
         state.apply(5, encode_command(begin))
         self.assertEqual(state.apply(6, remove[1])["code"], "conflict")
 
-    def test_a_command_of_a_newer_program_changes_nothing(self) -> None:
+    def test_command_of_a_newer_version_changes_nothing(self) -> None:
         state = ControlState(ManualClock())
         self.assertFalse(state.apply(1, {"kind": "unheard_of"})["is_accepted"])
         self.assertEqual(state.version, 0)
 
-    def test_a_resent_change_gets_the_first_answer(self) -> None:
+    def test_resent_change_gets_the_first_outcome(self) -> None:
         state = ControlState(ManualClock())
         change = ChangeSettings("c1", "/", 0, {"deadline_ms": 900}, "ana")
         first = state.apply(1, encode_command(change))
-        rival = ChangeSettings("c2", "/", 0, {"deadline_ms": 700}, "bo")
-        self.assertEqual(state.apply(2, encode_command(rival))["code"], "conflict")
+        concurrent = ChangeSettings("c2", "/", 0, {"deadline_ms": 700}, "bo")
+        self.assertEqual(state.apply(2, encode_command(concurrent))["code"], "conflict")
         self.assertEqual(state.apply(3, encode_command(change)), first)
         self.assertEqual(state.settings.root.deadline_ms, 900)
--- a/tests/control/test_ticking.py
+++ b/tests/control/test_ticking.py
@@ -1,4 +1,4 @@
-"""Tests of what a voter does on its own, as leader and as follower."""
+"""Tests of the periodic work of a voter, as leader and as follower."""
 
 import unittest
 from typing import cast
@@ -12,7 +12,7 @@
 
 
 class FakeNode:
-    """A node that leads in a term, or does not."""
+    """A node that is the leader in ``term``, or a follower when it is None."""
 
     def __init__(self) -> None:
         self.term: int | None = None
@@ -27,7 +27,7 @@
 
 
 class RecordingTicker(LeaderTicker):
-    """A ticker that notes what it was told to do."""
+    """A ticker that records the calls of its methods."""
 
     def __init__(self, node: FakeNode) -> None:
         clock = ManualClock()
@@ -39,38 +39,38 @@
             FailoverTimeline(clock),
             1.0,
         )
-        self.done: list[str] = []
+        self.calls: list[str] = []
 
     def begin_leadership(self) -> None:
-        """Note it."""
-        self.done.append("begin")
+        """Record the call."""
+        self.calls.append("begin")
 
-    def look(self) -> None:
-        """Note it."""
-        self.done.append("look")
+    def run_as_leader(self) -> None:
+        """Record the call."""
+        self.calls.append("run")
 
 
 class LeaderTickerTests(unittest.TestCase):
-    """What was gathered in an earlier leadership decides nothing in a later one."""
+    """Observations of an earlier leadership must not affect a later one."""
 
     def setUp(self) -> None:
         self.node = FakeNode()
         self.ticker = RecordingTicker(self.node)
 
     def tick(self, *terms: int | None) -> list[str]:
-        """Tick once in each term; None where another voter leads."""
+        """Tick once in each term; None stands for another leader."""
         for term in terms:
             self.node.term = term
             self.ticker.tick()
-        return self.ticker.done
+        return self.ticker.calls
 
-    def test_a_follower_does_nothing(self) -> None:
+    def test_follower_does_nothing(self) -> None:
         self.assertEqual(self.tick(None, None), [])
 
-    def test_a_leadership_begins_once(self) -> None:
-        self.assertEqual(self.tick(3, 3), ["begin", "look", "look"])
+    def test_leadership_begins_once(self) -> None:
+        self.assertEqual(self.tick(3, 3), ["begin", "run", "run"])
 
     def test_each_leadership_begins_anew(self) -> None:
-        # The lead was lost for so short a time that no tick saw another leader.
-        self.assertEqual(self.tick(3, 5), ["begin", "look", "begin", "look"])
-        self.assertEqual(self.tick(None, 7)[4:], ["begin", "look"])
+        # The leadership was lost so briefly that no tick saw another leader.
+        self.assertEqual(self.tick(3, 5), ["begin", "run", "begin", "run"])
+        self.assertEqual(self.tick(None, 7)[4:], ["begin", "run"])
