--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -83,7 +83,7 @@
             progress = self._release.progress(proxies)
             if progress.is_done:
                 return
-            self._progress.note(
+            self._progress.record_step(
                 "release", progress.waiting_for, "grants may still be valid"
             )
             self._release.wait_for_answer(min(progress.seconds, RELEASE_RETRY_SECONDS))
@@ -164,7 +164,7 @@
         old_primary = servers.get(promotion.old_primary)
         if old_primary is None:
             return False
-        self._progress.note("fence", (old_primary.name,))
+        self._progress.record_step("fence", (old_primary.name,))
         try:
             self._changer.fence(old_primary, promotion.term)
         except BackendError as error:
@@ -173,7 +173,7 @@
         return True
 
     def _report_refusal(self, refusal: ChoiceRefusal) -> None:
-        self._progress.note("choice", refusal.waiting_for, refusal.reason)
+        self._progress.record_step("choice", refusal.waiting_for, refusal.reason)
         # A proxy that was unreachable before may now report what it acknowledged.
         self._release.request(self._dependencies.state.proxies)
         self._dependencies.clock.sleep(STATUS_POLL_SECONDS)
