--- a/packages/standin/src/dogwoodspool_standin/announcer.py
+++ b/packages/standin/src/dogwoodspool_standin/announcer.py
@@ -12,14 +12,14 @@
 
 
 class Announcer:
-    """Tell one entry instance again and again that this server is there.
+    """Announce this server to one entry instance at a fixed interval.
 
     Args:
-        peer: inside HTTP address of the entry instance.
-        interval: seconds between two announcements.
-        client: how to call it.
-        faults: what is broken on purpose.
-        announcement: builds what is true now.
+        peer: internal HTTP address of the entry instance.
+        interval: time between two announcements, in seconds.
+        client: HTTP client that sends the announcements.
+        faults: the injected faults.
+        announcement: builds an announcement of the current state.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         )
 
     def set_up(self) -> None:
-        """Begin to announce."""
+        """Start announcing."""
         self._thread.start()
 
     def unload(self) -> None:
--- a/packages/standin/src/dogwoodspool_standin/commands.py
+++ b/packages/standin/src/dogwoodspool_standin/commands.py
@@ -1,4 +1,4 @@
-"""Statements of the stand-in itself: status, wait, promote, follow, fence, log."""
+"""The stand-in's own statements: status, wait, promote, follow, fence, log."""
 
 import re
 from collections.abc import Sequence
@@ -31,27 +31,28 @@
     """Connections of callers that may hold an open write transaction."""
 
     def drop_writers(self) -> None:
-        """Close the connections that hold one."""
+        """Close the connections that hold a write transaction."""
         ...
 
 
 class LinkFollower(Protocol):
-    """Who pulls the log over the link in force."""
+    """Component that pulls the log over the current link."""
 
     def link_changed(self) -> None:
-        """Turn to the link in force now."""
+        """Switch to the current link."""
         ...
 
 
 class StandinCommands:
-    """Carry out the stand-in's own statements; they take no slot.
+    """Execute the stand-in's own statements, which need no slot.
 
     Args:
         member: this server.
-        slots: statements that it runs at a time.
-        connections: connections that it takes.
-        writers: closed when the server becomes a replica.
-        follower: told when the server is to follow another one, or none.
+        slots: number of statements that it runs concurrently.
+        connections: maximum number of connections of callers.
+        writers: connections with a write transaction, closed when the server
+            becomes a replica.
+        follower: notified when the server is to follow another one, or none.
     """
 
     def __init__(
@@ -69,15 +70,15 @@
         self._follower = follower
 
     def is_command(self, sql: str) -> bool:
-        """Tell whether a ``SHOW`` statement is the stand-in's own."""
+        """Return whether a ``SHOW`` statement is one of the stand-in's own."""
         return _STATUS.match(sql) is not None
 
     def execute(self, sql: str) -> Rows:
-        """Carry out one statement.
+        """Execute one statement.
 
         Raises:
-            SyntaxStatementError: it is none of the stand-in's statements.
-            StatementError: the server refuses it.
+            SyntaxStatementError: it is not one of the stand-in's statements.
+            StatementError: the server rejects it.
         """
         if _STATUS.match(sql):
             return self._status_rows(self._member.status())
@@ -94,7 +95,7 @@
             return self._status_rows(self._member.fence(int(match.group(1))))
         if match := _LOG.match(sql):
             return self._read_log(*_numbers(match.groups()))
-        raise SyntaxStatementError(f"no statement of the stand-in: '{sql[:60]}'")
+        raise SyntaxStatementError(f"not a statement of the stand-in: '{sql[:60]}'")
 
     def _promote(self, term: int) -> Rows:
         status = self._member.promote(term)
@@ -107,8 +108,8 @@
         except ValueError as error:
             raise SyntaxStatementError(str(error)) from error
         status = self._member.follow(target, term)
-        # Their transactions can never commit here, but would keep the write lock
-        # from replication until their callers come back, perhaps never.
+        # Their transactions can no longer commit here, but would block replication
+        # by holding the write lock until their callers return, possibly forever.
         self._writers.drop_writers()
         self._follower.link_changed()
         return self._status_rows(status)
@@ -129,7 +130,7 @@
             self._connections,
             int(status.is_leaving),
         )
-        return Rows(STATUS_COLUMNS, [row], is_whole=True)
+        return Rows(STATUS_COLUMNS, [row], is_complete=True)
 
 
 def _log_rows(batch: LogBatch) -> Rows:
@@ -144,7 +145,7 @@
         (*head, entry.offset, entry.term, entry.statements_json())
         for entry in batch.entries
     ]
-    return Rows(LOG_COLUMNS, rows or [(*head, None, None, None)], is_whole=True)
+    return Rows(LOG_COLUMNS, rows or [(*head, None, None, None)], is_complete=True)
 
 
 def _numbers(groups: Sequence[str]) -> tuple[int, ...]:
--- a/packages/standin/src/dogwoodspool_standin/connection.py
+++ b/packages/standin/src/dogwoodspool_standin/connection.py
@@ -19,6 +19,7 @@
 from mysql_mimic.stream import ConnectionClosed, MysqlStream
 from mysql_mimic.types import ColumnType, Commands, ServerStatus
 
+from .connection_limiter import ConnectionLimiter
 from .const import (
     ATTR_FAILURE_DOMAIN,
     ATTR_PROGRAM_NAME,
@@ -35,8 +36,7 @@
 )
 from .faults import FaultSwitches
 from .identity import MimicSession, Users
-from .models import Done, Rows
-from .registry import Registry
+from .models import OkResult, Rows
 from .session import CallerSession
 
 T = TypeVar("T")
@@ -46,74 +46,82 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionParts:
-    """What all connections of a listener share."""
+class ConnectionDependencies:
+    """Objects that all connections of a listener share."""
 
     executor: Executor
     faults: FaultSwitches
-    registry: Registry
+    connection_limiter: ConnectionLimiter
     users: Users
     control: Control
     is_refusing: Callable[[], bool]
 
 
 class StandinConnection(Connection):
-    """Answer one caller; blocking work goes to the executor."""
+    """Serve one caller; blocking work runs in the executor."""
 
     def __init__(
-        self, stream: MysqlStream, session: CallerSession, parts: ConnectionParts
+        self,
+        stream: MysqlStream,
+        session: CallerSession,
+        dependencies: ConnectionDependencies,
     ) -> None:
         super().__init__(
             stream=stream,
             session=MimicSession(),
-            control=parts.control,
-            identity_provider=parts.users,
+            control=dependencies.control,
+            identity_provider=dependencies.users,
         )
         self._caller = session
-        self._parts = parts
+        self._dependencies = dependencies
         self._is_counted = False
         self._update_flags()
 
     @property
     def holds_write_lock(self) -> bool:
-        """Whether an open transaction of the caller has written."""
+        """Whether an open transaction of the caller holds the write lock."""
         return self._caller.holds_write_lock
 
     @property
     def failure_domain(self) -> str:
-        """Where the caller says that it runs; empty for one that does not say."""
+        """Failure domain that the caller named at login; empty if it named none."""
         attributes = self.client_connect_attrs
         return attributes.get(ATTR_FAILURE_DOMAIN) or attributes.get(
             ATTR_PROGRAM_NAME, ""
         )
 
     async def serve(self) -> None:
-        """Answer until the caller leaves or the network does."""
+        """Serve the caller until it disconnects or the network fails."""
         try:
             await asyncio.wait_for(self.connection_phase(), HANDSHAKE_TIMEOUT)
             await self.command_phase()
         except StatementError as error:
             await self._write_error(error)
         finally:
-            await self._in_executor(self._caller.close)
+            await self._run_in_executor(self._caller.close)
             if self._is_counted:
-                self._parts.registry.leave(self._caller.is_replication)
+                self._dependencies.connection_limiter.release(
+                    self._caller.is_replication
+                )
 
     async def authenticate(self, username: str, *args: Any, **kwargs: Any) -> None:
-        """Check caps and password.
+        """Check the connection limits and the password.
 
-        mysql-mimic reports a wrong password to the caller and then goes on to
-        answer its commands: the caller would read and write without one. The
-        name is set by a right password only, so its check afterwards ends that.
+        mysql-mimic reports a wrong password to the caller and then continues to
+        serve its commands, so the caller could read and write without a valid
+        password. It sets the session's user name only after a correct password;
+        a connection without one is therefore closed here.
         """
-        if self._parts.is_refusing() or self._parts.faults.is_cut(self.failure_domain):
+        if self._dependencies.is_refusing() or self._dependencies.faults.is_cut(
+            self.failure_domain
+        ):
             raise ConnectionCutError
         is_replication = username == REPLICATION_USER
-        if not self._parts.registry.enter(is_replication):
+        if not self._dependencies.connection_limiter.try_acquire(is_replication):
             raise TooManyConnectionsError("Too many connections")
         self._is_counted = True
         self._caller.is_replication = is_replication
-        if await self._parts.users.get_user(username) is None:
+        if await self._dependencies.users.get_user(username) is None:
             raise AccessDeniedError(f"Access denied for user '{username}'")
         await super().authenticate(username, *args, **kwargs)
         if self.session.username is None:
@@ -122,7 +130,7 @@
         self._caller.connection_id = self.connection_id
 
     async def command_phase(self) -> None:
-        """Answer one command after the other."""
+        """Process commands one after the other."""
         while True:
             try:
                 data = await self.stream.read()
@@ -135,27 +143,27 @@
             self.stream.reset_seq()
 
     async def handle_query(self, data: bytes) -> None:
-        """Run one statement and send its outcome or its rows."""
+        """Run one statement and send its OK packet or its rows."""
         query = parse_com_query(self.capabilities, self.client_charset, data)
-        outcome = await self._in_executor(lambda: self._caller.execute(query.sql))
-        if isinstance(outcome, Done):
-            await self._write_done(outcome)
+        outcome = await self._run_in_executor(lambda: self._caller.execute(query.sql))
+        if isinstance(outcome, OkResult):
+            await self._write_ok(outcome)
         else:
             await self._write_rows(outcome)
 
     async def handle_reset_connection(self, data: bytes) -> None:
-        """Roll back and forget what the connection was told."""
-        await self._in_executor(self._caller.reset)
-        await self._write_done(Done())
+        """Roll back and reset the session state."""
+        await self._run_in_executor(self._caller.reset)
+        await self._write_ok(OkResult())
 
     async def handle_init_db(self, data: bytes) -> None:
-        """Note the database; this server has one set of tables only."""
+        """Set the current database; all databases share one set of tables."""
         self._caller.database = self.client_charset.decode(data)
-        await self._write_done(Done())
+        await self._write_ok(OkResult())
 
     async def handle_ping(self, data: bytes) -> None:
-        """Say that the server is there."""
-        await self._write_done(Done())
+        """Answer a ping."""
+        await self._write_ok(OkResult())
 
     async def _answer(self, command: int, rest: bytes) -> None:
         try:
@@ -169,7 +177,9 @@
                 case Commands.COM_INIT_DB:
                     await self.handle_init_db(rest)
                 case Commands.COM_STMT_PREPARE:
-                    raise NotPreparedError("prepared statements are not imitated")
+                    raise NotPreparedError(
+                        "prepared statements are not supported by the stand-in"
+                    )
                 case _:
                     raise UnknownCommandError(f"unknown command {command:#x}")
         except StatementError as error:
@@ -179,19 +189,19 @@
                 int(error.code), get_sqlstate(error.code), error.msg
             )
 
-    async def _write_done(self, done: Done) -> None:
+    async def _write_ok(self, result: OkResult) -> None:
         await self._begin_answer()
         await self.stream.write(
             self.ok(
-                affected_rows=done.affected_rows, last_insert_id=done.last_insert_id
+                affected_rows=result.affected_rows, last_insert_id=result.last_insert_id
             )
         )
 
     async def _write_rows(self, rows: Rows) -> None:
-        """Send a result chunk by chunk, at the pace of the caller."""
+        """Send a result chunk by chunk, as fast as the caller reads it."""
         await self._begin_answer()
         columns = [
-            ResultColumn(name, _column_type(rows.first, index))
+            ResultColumn(name, _column_type(rows.first_chunk, index))
             for index, name in enumerate(rows.columns)
         ]
         head = [make_column_count(self.capabilities, len(columns))]
@@ -207,18 +217,18 @@
         if not self.deprecate_eof():
             head.append(self.eof())
         self.stream.write_many(head)
-        chunk, is_last = rows.first, rows.is_whole
+        chunk, is_last = rows.first_chunk, rows.is_complete
         while chunk:
             self.stream.write_text_rows(chunk, columns)
             await self.stream.drain()
             if is_last:
                 break
-            chunk = await self._in_executor(self._caller.fetch)
+            chunk = await self._run_in_executor(self._caller.fetch)
         await self.stream.write(self.ok_or_eof())
 
-    async def _in_executor(self, work: Callable[[], T]) -> T:
+    async def _run_in_executor(self, work: Callable[[], T]) -> T:
         loop = asyncio.get_running_loop()
-        return await loop.run_in_executor(self._parts.executor, work)
+        return await loop.run_in_executor(self._dependencies.executor, work)
 
     async def _write_error(self, error: StatementError) -> None:
         await self._write_error_packet(
@@ -228,7 +238,10 @@
     async def _write_error_packet(
         self, number: int, sqlstate: bytes, message: str
     ) -> None:
-        """Send an error packet; mysql-mimic's own knows few of the numbers."""
+        """Send an error packet.
+
+        mysql-mimic's own method supports only a few of the error numbers.
+        """
         await self._begin_answer()
         packet = struct.pack("<BH", _ERROR_HEADER, number)
         await self.stream.write(packet + _SQLSTATE_MARK + sqlstate + message.encode())
@@ -238,8 +251,8 @@
         await self._delay()
 
     async def _delay(self) -> None:
-        latency = self._parts.faults.latency
-        if latency:  # A sleep of 0 would still cost a turn of the event loop.
+        latency = self._dependencies.faults.latency
+        if latency:  # A sleep of 0 would still yield to the event loop once.
             await asyncio.sleep(latency)
 
     def _update_flags(self) -> None:
@@ -252,7 +265,7 @@
 
 
 def _column_type(rows: Sequence[Sequence[Any]], index: int) -> ColumnType:
-    """Choose a type that every value of the column's first chunk fits."""
+    """Choose a type that fits every value in the column's first chunk."""
     kinds = {type(row[index]) for row in rows} - {type(None)}
     if not kinds or str in kinds:
         return ColumnType.VAR_STRING
--- a/packages/standin/src/dogwoodspool_standin/registry.py
+++ b/packages/standin/src/dogwoodspool_standin/connection_limiter.py
@@ -1,12 +1,14 @@
-"""Count connections against the caps."""
+"""Limits on the number of connections."""
 
 
-class Registry:
-    """Who is connected; used on the event loop only, read from anywhere.
+class ConnectionLimiter:
+    """Count connections and enforce their limits.
+
+    Methods are called on the event loop only; properties are read from any thread.
 
     Args:
-        limit: connections of callers.
-        replication_limit: connections of replicas.
+        limit: maximum number of connections of callers.
+        replication_limit: maximum number of connections of replicas.
     """
 
     def __init__(self, limit: int, replication_limit: int) -> None:
@@ -19,28 +21,28 @@
 
     @property
     def callers(self) -> int:
-        """Connections of callers now."""
+        """Current number of connections of callers."""
         return self._callers
 
     @property
     def replicas(self) -> int:
-        """Connections of replicas now."""
+        """Current number of connections of replicas."""
         return self._replicas
 
     @property
     def peak(self) -> int:
-        """Most connections of callers at a time."""
+        """Highest number of concurrent connections of callers."""
         return self._peak
 
     @property
     def refused(self) -> int:
-        """Callers refused because of the cap."""
+        """Number of callers refused because of the limit."""
         return self._refused
 
-    def enter(self, is_replication: bool) -> bool:
-        """Count a connection in; return False where the cap is reached."""
+    def try_acquire(self, is_replication: bool) -> bool:
+        """Count a new connection; return False if the limit is reached."""
         if is_replication:
-            return self._enter_replica()
+            return self._try_acquire_replica()
         if self._callers >= self._limit:
             self._refused += 1
             return False
@@ -48,14 +50,14 @@
         self._peak = max(self._peak, self._callers)
         return True
 
-    def leave(self, is_replication: bool) -> None:
-        """Count a connection out."""
+    def release(self, is_replication: bool) -> None:
+        """Stop counting a closed connection."""
         if is_replication:
             self._replicas -= 1
         else:
             self._callers -= 1
 
-    def _enter_replica(self) -> bool:
+    def _try_acquire_replica(self) -> bool:
         if self._replicas >= self._replication_limit:
             return False
         self._replicas += 1
--- a/packages/standin/src/dogwoodspool_standin/const.py
+++ b/packages/standin/src/dogwoodspool_standin/const.py
@@ -23,7 +23,7 @@
 DEFAULT_LOCK_WAIT_MS: Final = 5_000
 DEFAULT_USER: Final = "dogwoodspool"
 
-# Connections of replicas, which do not count against the cap of callers.
+# Connections of replicas, which do not count against the limit for callers.
 MAX_REPLICATION_CONNECTIONS: Final = 16
 FIRST_TERM: Final = 1
 
@@ -42,8 +42,9 @@
 REPLICATION_MAX_PENDING: Final = 10_000
 REPLICATION_FIRST_BACKOFF: Final = 0.05
 REPLICATION_LAST_BACKOFF: Final = 1.0
-# A part of the primary's waiting time that counts as elapsed here too: less than
-# one, because the clocks of two machines need not run at the same rate.
+# Fraction of the primary's reported waiting time that is taken as elapsed on this
+# server too. It is below one because the clocks of two machines may run at different
+# rates.
 REPLICATION_CLOCK_MARGIN: Final = 0.95
 
 MAX_WAIT_MS: Final = 60_000
@@ -71,5 +72,6 @@
     "statements",
 )
 
-# Statements that the diagnostics show, so that a test can name what ran unexpectedly.
+# Number of recent statements in the diagnostics, so that a test can name a statement
+# that ran unexpectedly.
 RECENT_STATEMENTS: Final = 16
--- a/packages/standin/src/dogwoodspool_standin/counters.py
+++ b/packages/standin/src/dogwoodspool_standin/counters.py
@@ -1,4 +1,4 @@
-"""Counts of statements over all connections."""
+"""Statement counters for all connections of a server."""
 
 import threading
 from collections import deque
@@ -7,7 +7,7 @@
 
 
 class StatementCounters:
-    """Count from many threads at once."""
+    """Thread-safe statement counters."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -17,18 +17,18 @@
 
     @property
     def statements(self) -> int:
-        """Statements of callers, the stand-in's own not counted."""
+        """Number of statements of callers, without the stand-in's own statements."""
         return self._statements
 
     @property
     def recent(self) -> list[str]:
-        """The newest statements of callers, the oldest first."""
+        """The most recent statements of callers, oldest first."""
         with self._lock:
             return list(self._recent)
 
     @property
     def writes(self) -> int:
-        """Write transactions that callers committed."""
+        """Number of write transactions that callers committed."""
         return self._writes
 
     def count_statement(self, sql: str) -> None:
--- a/packages/standin/src/dogwoodspool_standin/dialect.py
+++ b/packages/standin/src/dogwoodspool_standin/dialect.py
@@ -1,4 +1,4 @@
-"""Read MySQL's SQL so far that SQLite can run it."""
+"""Classify MySQL statements and translate them for SQLite."""
 
 import re
 from functools import lru_cache
@@ -68,11 +68,12 @@
 
 
 @lru_cache(maxsize=2048)
-def read_statement(text: str) -> Statement:
+def parse_statement(text: str) -> Statement:
     """Classify one statement and rewrite its literals for SQLite.
 
     Raises:
-        SyntaxStatementError: the first word begins no statement known here.
+        SyntaxStatementError: the first word does not begin a supported statement.
+        NotImitatedError: it creates a temporary table.
     """
     sql = _TOKEN.sub(_rewrite_token, text).strip().rstrip(";").rstrip()
     first = _FIRST_WORD.match(sql)
@@ -80,9 +81,9 @@
     if kind is None:
         raise SyntaxStatementError(f"You have an error in your SQL near '{sql[:40]}'")
     if _TEMPORARY.match(sql):
-        raise NotImitatedError("temporary tables are not imitated")
+        raise NotImitatedError("temporary tables are not supported by the stand-in")
     if kind is StatementKind.SCHEMA:
-        # SQLite would take INT AUTO_INCREMENT as the name of a type.
+        # SQLite would accept INT AUTO_INCREMENT as the name of a type.
         return Statement(kind, translate(text), text)
     bare = _TOKEN.sub("''", sql)
     if kind is StatementKind.ROLLBACK and _ROLLBACK_TO.match(sql):
@@ -99,16 +100,16 @@
 
 @lru_cache(maxsize=512)
 def translate(text: str) -> str:
-    """Translate a statement that SQLite refused as it stood.
+    """Translate a statement from MySQL's dialect into SQLite's.
 
     Raises:
-        SyntaxStatementError: it is no SQL of MySQL either.
+        SyntaxStatementError: it is not valid MySQL SQL.
     """
     try:
         parsed = sqlglot.parse_one(text, read="mysql")
-        tree = parsed.transform(_without_mysql_parts) or parsed
+        tree = parsed.transform(_rewrite_mysql_node) or parsed
         sql = tree.sql(dialect="sqlite", unsupported_level=ErrorLevel.IGNORE)
-        return _SQLITE_TOKEN.sub(_rewrite_clock, sql)
+        return _SQLITE_TOKEN.sub(_rewrite_current_timestamp, sql)
     except SqlglotError as error:
         raise SyntaxStatementError(str(error)) from error
 
@@ -117,7 +118,7 @@
     if match.group("comment") is not None:
         return " "
     if match.group("name") is not None or match.group("clock") is not None:
-        return _rewrite_clock(match)
+        return _rewrite_current_timestamp(match)
     token = match.group("string")
     token = token[min(token.find(mark) % len(token) for mark in "'\"") :]
     quote, inner = token[0], token[1:-1]
@@ -129,16 +130,19 @@
     return "'" + value.replace("'", "''") + "'"
 
 
-def _rewrite_clock(match: re.Match[str]) -> str:
-    """Use the function whose value is logged, so that replicas write the same."""
+def _rewrite_current_timestamp(match: re.Match[str]) -> str:
+    """Replace ``CURRENT_TIMESTAMP`` with ``NOW()``.
+
+    The value of ``NOW()`` is logged, so that replicas write the same value.
+    """
     token = match.group("clock")
     if token is None:
         return match.group()
     return "DEFAULT (NOW())" if token.upper().startswith("DEFAULT") else "NOW()"
 
 
-def _without_mysql_parts(node: exp.Expression) -> exp.Expression | None:
-    """Drop or rewrite what sqlglot passes through and SQLite does not know."""
+def _rewrite_mysql_node(node: exp.Expression) -> exp.Expression | None:
+    """Drop or rewrite nodes that sqlglot passes through and SQLite rejects."""
     if isinstance(node, exp.IndexColumnConstraint):
         return None
     if isinstance(node, exp.ColumnConstraint) and isinstance(
@@ -146,7 +150,7 @@
     ):
         return None
     if isinstance(node, exp.Table) and node.db:
-        node.set("db", None)  # The server has one set of tables.
+        node.set("db", None)  # All databases share one set of tables.
     if (
         isinstance(node, exp.DataType)
         and node.this in exp.DataType.UNSIGNED_INTEGER_TYPES
--- a/packages/standin/src/dogwoodspool_standin/errors.py
+++ b/packages/standin/src/dogwoodspool_standin/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the stand-in, each with its number and SQLSTATE of MySQL."""
+"""Errors of the stand-in, with MySQL's error numbers and SQLSTATEs."""
 
 import sqlite3
 from typing import ClassVar, Final
@@ -11,23 +11,23 @@
 
 
 class StorageError(StandinError):
-    """Report a data folder that cannot be used, such as one that is in use."""
+    """Report an unusable data folder, such as one that another process uses."""
 
 
 class ReplicationError(StandinError):
-    """Report that a pull from the followed server brought nothing usable."""
+    """Report a failed or unusable pull from the followed server."""
 
 
 class ConnectionCutError(StandinError):
-    """End a connection without an answer, as a broken network would."""
+    """Close a connection without an answer, as a network failure does."""
 
 
 class StatementError(StandinError):
-    """Report a statement that failed, as a MySQL server would.
+    """Report a failed statement as a MySQL server does.
 
     Attributes:
         number: MySQL's error number.
-        sqlstate: its five-character SQLSTATE.
+        sqlstate: MySQL's five-character SQLSTATE.
     """
 
     number: ClassVar[int] = 1105
@@ -35,7 +35,7 @@
 
 
 class TooManyConnectionsError(StatementError):
-    """Refuse a connection above the cap."""
+    """Refuse a connection above the limit."""
 
     number = 1040
     sqlstate = "08004"
@@ -49,14 +49,14 @@
 
 
 class UnknownCommandError(StatementError):
-    """Refuse a command of the protocol that is not imitated."""
+    """Reject a protocol command that the stand-in does not support."""
 
     number = 1047
     sqlstate = "08S01"
 
 
 class ShuttingDownError(StatementError):
-    """Refuse a caller while rows are dropped to be replayed, or at the end."""
+    """Refuse a caller while rows are dropped and replayed, or at shutdown."""
 
     number = 1053
     sqlstate = "08S01"
@@ -70,7 +70,7 @@
 
 
 class NotImitatedError(StatementError):
-    """Refuse a statement that MySQL knows and the stand-in does not."""
+    """Reject a statement that MySQL supports and the stand-in does not."""
 
     number = 1235
     sqlstate = "42000"
@@ -83,7 +83,7 @@
 
 
 class LockWaitTimeoutError(StatementError):
-    """Report that another transaction kept the write lock too long."""
+    """Report that the write lock was not acquired within the timeout."""
 
     number = 1205
 
@@ -96,53 +96,53 @@
 
 
 class StaleTermError(StatementError):
-    """Refuse an order under an older term than one already obeyed."""
+    """Reject a command whose term is older than one already accepted."""
 
     number = 1231
     sqlstate = "42000"
 
 
 class ReadOnlyError(StatementError):
-    """Refuse a write on a replica or under a fenced term."""
+    """Reject a write on a replica or under a fenced term."""
 
     number = 1290
 
 
 class NotPreparedError(StatementError):
-    """Refuse the prepared statement protocol."""
+    """Reject the prepared statement protocol."""
 
     number = 1295
 
 
 class SlotTimeoutError(StatementError):
-    """Report a statement that waited for a slot too long and did not run."""
+    """Report a statement that did not run because its wait for a slot timed out."""
 
     number = 3024
 
 
 class DuplicateEntryError(StatementError):
-    """Report a row whose key is there already."""
+    """Report a row with a duplicate key."""
 
     number = 1062
     sqlstate = "23000"
 
 
 class NullColumnError(StatementError):
-    """Report a missing value of a column that must have one."""
+    """Report a null value for a column that is not nullable."""
 
     number = 1048
     sqlstate = "23000"
 
 
 class ForeignKeyError(StatementError):
-    """Report a row that refers to no row."""
+    """Report a row whose foreign key refers to a missing row."""
 
     number = 1452
     sqlstate = "23000"
 
 
 class CheckError(StatementError):
-    """Report a row that a check constraint refuses."""
+    """Report a row that violates a check constraint."""
 
     number = 3819
 
@@ -169,7 +169,7 @@
 
 
 class AmbiguousColumnError(StatementError):
-    """Report a column name that several tables have."""
+    """Report a column name that exists in several tables."""
 
     number = 1052
     sqlstate = "23000"
@@ -201,7 +201,7 @@
     "SQLITE_BUSY_SNAPSHOT": DeadlockError,
 }
 
-# SQLite has one code for all of these; only its message tells them apart.
+# SQLite reports all of these with one code; only the message distinguishes them.
 _BY_SQLITE_MESSAGE: tuple[tuple[str, type[StatementError]], ...] = (
     ("no such table", NoSuchTableError),
     ("no such column", NoSuchColumnError),
@@ -218,12 +218,13 @@
 )
 
 
-# Text with two statements is a warning in Python 3.11, which is no ``Error``.
+# Python 3.11 reports a text with two statements as ``sqlite3.Warning``, which is not a
+# subclass of ``sqlite3.Error``.
 SQLITE_FAILURES: Final = (sqlite3.Error, sqlite3.Warning)
 
 
 def statement_error(error: sqlite3.Error | sqlite3.Warning) -> StatementError:
-    """Turn an error of SQLite into the one that MySQL would report.
+    """Convert an error of SQLite into the one that MySQL would report.
 
     Example:
         >>> raise statement_error(error) from error
@@ -242,8 +243,12 @@
     return StatementError(message)
 
 
-def is_of_another_dialect(error: sqlite3.Error | sqlite3.Warning) -> bool:
-    """Tell whether a translation may help: new syntax or a database's name."""
+def may_need_translation(error: sqlite3.Error | sqlite3.Warning) -> bool:
+    """Return whether translating the statement may resolve the error.
+
+    This is so for syntax that SQLite does not know and for a table name that is
+    qualified with a database.
+    """
     failure = statement_error(error)
     if isinstance(failure, NoSuchTableError):
         return "." in str(failure)
--- a/packages/standin/src/dogwoodspool_standin/faults.py
+++ b/packages/standin/src/dogwoodspool_standin/faults.py
@@ -1,4 +1,4 @@
-"""Fault switches: what is broken on purpose, changed over HTTP."""
+"""Fault injection: switches that are changed over HTTP."""
 
 import threading
 from collections.abc import Callable
@@ -12,20 +12,20 @@
 
 
 class FaultsMessage(Message):
-    """State of all switches that stay as they are set; times in milliseconds.
+    """State of the persistent fault switches; times are in milliseconds.
 
     Attributes:
-        freeze: answer nothing, announce nothing, replicate nothing; sockets stay
-            open.
+        freeze: stop answering, announcing and replicating; sockets stay open.
         refuse_connections: drop open connections and refuse new ones.
         cut_failure_domains: drop and refuse connections that name one of these
-            as their failure domain; follow no server that runs in one.
-        cut_addresses: announce to none of these and follow none of them.
-        stop_replication: pull no log.
-        lag_ms: hold each pulled entry back for this long.
+            as their failure domain; do not follow a server that runs in one.
+        cut_addresses: do not announce to these addresses and do not follow them.
+        stop_replication: do not pull the log.
+        lag_ms: delay before a pulled entry is applied.
         statement_ms: service time of a statement.
         latency_ms: one-way delay of each command and each answer.
-        leaving: ask for no new work, in the status and in announcements.
+        leaving: report in the status and in announcements that the server takes
+            no new work.
     """
 
     freeze: bool = False
@@ -40,11 +40,11 @@
 
 
 class FaultsRequest(Message):
-    """Change the switches that are named; the others stay.
+    """Change the given switches and leave the others unchanged.
 
     Attributes:
-        kill: end the process at once, with nothing tidied up.
-        silence_connections: connections open now swallow what they get and
+        kill: end the process immediately, without any cleanup.
+        silence_connections: currently open connections discard their input and
             never answer again; new ones work.
     """
 
@@ -62,11 +62,11 @@
 
 
 class FaultSwitches:
-    """Hold the switches and stop threads while the server is frozen.
+    """Hold the switches and block threads while the server is frozen.
 
     Args:
-        initial: the switches at the start.
-        terminate: ends the process, given its exit status.
+        initial: initial state of the switches.
+        terminate: ends the process with the given exit status.
     """
 
     def __init__(
@@ -77,46 +77,48 @@
         self._lock = threading.Lock()
         self._running = threading.Event()
         self._running.set()
-        self._on_change: Callable[[FaultsRequest], None] = lambda _: None
+        self._change_handler: Callable[[FaultsRequest], None] = lambda _: None
 
     @property
     def current(self) -> FaultsMessage:
-        """The switches as they are now."""
+        """The current state of the switches."""
         return self._current
 
     @property
     def replication_lag(self) -> float:
-        """Seconds that each pulled entry is held back."""
+        """Delay before a pulled entry is applied, in seconds."""
         return self._current.lag_ms / MILLISECONDS
 
     @property
     def service_time(self) -> float:
-        """Seconds that each statement takes besides its work."""
+        """Time added to the execution of each statement, in seconds."""
         return self._current.statement_ms / MILLISECONDS
 
     @property
     def latency(self) -> float:
-        """Seconds of one-way delay."""
+        """One-way delay, in seconds."""
         return self._current.latency_ms / MILLISECONDS
 
-    def set_listener(self, on_change: Callable[[FaultsRequest], None]) -> None:
-        """Set who acts on changes, such as by dropping connections."""
-        self._on_change = on_change
+    def set_change_handler(
+        self, change_handler: Callable[[FaultsRequest], None]
+    ) -> None:
+        """Set the handler of changes, which for example drops connections."""
+        self._change_handler = change_handler
 
     def pause_while_frozen(self) -> None:
         """Block the calling thread while the server is frozen."""
         self._running.wait()
 
     def is_cut(self, failure_domain: str) -> bool:
-        """Tell whether a failure domain is cut off from this server."""
+        """Return whether this server is cut off from a failure domain."""
         return failure_domain in self._current.cut_failure_domains
 
     def is_address_cut(self, address: object) -> bool:
-        """Tell whether this server is cut off from an address."""
+        """Return whether this server is cut off from an address."""
         return str(address) in self._current.cut_addresses
 
     def apply(self, request: FaultsRequest) -> None:
-        """Change switches and act on it."""
+        """Change switches and apply their effects."""
         if request.kill:
             self._terminate(EXIT_KILLED)
         changes = request.model_dump(
@@ -130,7 +132,7 @@
             self._running.clear()
         else:
             self._running.set()
-        self._on_change(request)
+        self._change_handler(request)
 
     def routes(self) -> list[Route]:
         """Return the endpoints that show and change the switches."""
--- a/packages/standin/src/dogwoodspool_standin/identity.py
+++ b/packages/standin/src/dogwoodspool_standin/identity.py
@@ -1,4 +1,4 @@
-"""Who may connect, as mysql-mimic wants to know it."""
+"""Users and session state in the form that mysql-mimic expects."""
 
 from mysql_mimic.auth import IdentityProvider, NativePasswordAuthPlugin, User
 from mysql_mimic.session import BaseSession
@@ -6,7 +6,7 @@
 
 
 class MimicSession(BaseSession):
-    """What mysql-mimic wants to know; statements go to ``CallerSession``."""
+    """Session state that mysql-mimic expects; ``CallerSession`` runs the statements."""
 
     def __init__(self) -> None:
         self.variables = SessionVariables(GlobalVariables())
@@ -32,5 +32,5 @@
         }
 
     async def get_user(self, username: str) -> User | None:
-        """Return the user of a name."""
+        """Return the user with a name, or None if there is no such user."""
         return self._users.get(username)
--- a/packages/standin/src/dogwoodspool_standin/introspection.py
+++ b/packages/standin/src/dogwoodspool_standin/introspection.py
@@ -1,4 +1,4 @@
-"""Questions of clients about the server: variables, tables, warnings."""
+"""Statements that query the server: variables, tables, warnings."""
 
 import re
 from typing import Any, Final
@@ -24,7 +24,7 @@
 
 
 class Introspection:
-    """Answer from mysql-mimic's table of variables and from this server's state."""
+    """Answer from mysql-mimic's system variables and this server's state."""
 
     def __init__(self, member: GroupMember) -> None:
         self._member = member
@@ -42,25 +42,26 @@
         for index, match in enumerate(matches):
             if match.group(1).lower() == _AUTOCOMMIT:
                 values[index] = int(is_autocommit)
-        return Rows(names, [tuple(values)], is_whole=True)
+        return Rows(names, [tuple(values)], is_complete=True)
 
     def show(self, sql: str, connection: StorageConnection) -> Rows:
         """Answer ``SHOW TABLES``, ``SHOW VARIABLES LIKE`` and ``SHOW WARNINGS``.
 
         Raises:
-            NotImitatedError: another ``SHOW``.
+            NotImitatedError: any other ``SHOW`` statement.
+            UnknownVariableError: there is no such variable.
         """
         if _SHOW_TABLES.match(sql):
             names = connection.table_names()
             rows = [(name,) for name in names]
-            return Rows((f"Tables_in_{connection.database}",), rows, is_whole=True)
+            return Rows((f"Tables_in_{connection.database}",), rows, is_complete=True)
         if match := _SHOW_VARIABLES.match(sql):
             name = match.group(1).lower()
             row = (name, self._value(name))
-            return Rows(("Variable_name", "Value"), [row], is_whole=True)
+            return Rows(("Variable_name", "Value"), [row], is_complete=True)
         if _SHOW_WARNINGS.match(sql):
-            return Rows(("Level", "Code", "Message"), [], is_whole=True)
-        raise NotImitatedError(f"not imitated: '{sql[:60]}'")
+            return Rows(("Level", "Code", "Message"), [], is_complete=True)
+        raise NotImitatedError(f"not supported by the stand-in: '{sql[:60]}'")
 
     def _value(self, name: str) -> Any:
         if name in _READ_ONLY:
--- a/packages/standin/src/dogwoodspool_standin/listener.py
+++ b/packages/standin/src/dogwoodspool_standin/listener.py
@@ -1,4 +1,4 @@
-"""Accept callers; mysql-mimic's event loop lives and ends here."""
+"""Accept connections of callers and run mysql-mimic's event loop."""
 
 import asyncio
 import contextlib
@@ -13,31 +13,31 @@
 from mysql_mimic.control import Control
 from mysql_mimic.stream import MysqlStream
 
-from .connection import ConnectionParts, StandinConnection
+from .connection import ConnectionDependencies, StandinConnection
+from .connection_limiter import ConnectionLimiter
 from .const import MAX_REPLICATION_CONNECTIONS, STOP_TIMEOUT
 from .errors import ConnectionCutError
 from .faults import FaultSwitches
 from .identity import Users
-from .registry import Registry
 from .session import CallerSession
 from .streams import CallerReader, CallerWriter
 
 
 @dataclass(eq=False, slots=True)
 class OpenConnection:
-    """A caller's connection with its two ends."""
+    """A caller's connection with its reader and writer."""
 
     reader: CallerReader
     writer: CallerWriter
     connection: StandinConnection
 
     def silence(self) -> None:
-        """Swallow input and drop answers from now on."""
+        """Discard all further input and answers."""
         self.reader.is_silenced = True
         self.writer.is_silenced = True
 
     def drop(self) -> None:
-        """Cut it off without a word."""
+        """Abort the connection without an answer."""
         self.writer.transport.abort()
 
 
@@ -45,12 +45,12 @@
     """Serve callers on one address.
 
     Args:
-        address: where to listen; port 0 takes a free one.
-        limit: connections of callers.
-        connect_delay_ms: time that a new connection takes.
+        address: address to listen on; port 0 selects a free port.
+        limit: maximum number of connections of callers.
+        connect_delay_ms: delay before a new connection is served.
         users: passwords by user name.
-        faults: what is broken on purpose.
-        new_session: builds what runs a connection's statements.
+        faults: the injected faults.
+        new_session: builds the session that runs a connection's statements.
     """
 
     def __init__(
@@ -63,20 +63,20 @@
         faults: FaultSwitches,
         new_session: Callable[[], CallerSession],
     ) -> None:
-        self._wanted = address
+        self._requested_address = address
         self._address = address
         self._connect_delay = connect_delay_ms / MILLISECONDS
         self._faults = faults
         self._new_session = new_session
-        self._registry = Registry(limit, MAX_REPLICATION_CONNECTIONS)
+        self._connection_limiter = ConnectionLimiter(limit, MAX_REPLICATION_CONNECTIONS)
         self._executor = ThreadPoolExecutor(
             limit + MAX_REPLICATION_CONNECTIONS, thread_name_prefix="statement"
         )
         self._is_rebuilding = False
-        self._parts = ConnectionParts(
+        self._dependencies = ConnectionDependencies(
             executor=self._executor,
             faults=faults,
-            registry=self._registry,
+            connection_limiter=self._connection_limiter,
             users=Users(users),
             control=Control(),
             is_refusing=self._is_refusing,
@@ -93,23 +93,27 @@
 
     @property
     def address(self) -> Address:
-        """The address in use, with the real port where 0 was asked for."""
+        """The address in use, with the actual port if port 0 was requested."""
         return self._address
 
     @property
-    def registry(self) -> Registry:
-        """Counts of connections."""
-        return self._registry
+    def connection_limiter(self) -> ConnectionLimiter:
+        """Limits and counts of connections."""
+        return self._connection_limiter
 
     def set_up(self) -> None:
-        """Listen; raise ``OSError`` where the address is taken."""
+        """Start listening.
+
+        Raises:
+            OSError: the address cannot be bound, for example because it is in use.
+        """
         self._thread.start()
         self._ready.wait()
         if self._failure is not None:
             raise self._failure
 
     def unload(self) -> None:
-        """Drop all connections, wait for their statements and end the loop."""
+        """Drop all connections, wait for their statements and stop the event loop."""
         asyncio.run_coroutine_threadsafe(self._stop(), self._loop).result(
             STOP_TIMEOUT * 2
         )
@@ -120,15 +124,17 @@
             self._loop.close()
 
     def freeze(self) -> None:
-        """Stop the loop's thread until the fault switches let it go on."""
+        """Block the event loop's thread until the server is no longer frozen."""
         self._loop.call_soon_threadsafe(self._faults.pause_while_frozen)
 
     def silence(self) -> None:
-        """Silence the connections that are open now."""
-        self._loop.call_soon_threadsafe(self._each, OpenConnection.silence)
+        """Silence the currently open connections."""
+        self._loop.call_soon_threadsafe(
+            self._for_each_connection, OpenConnection.silence
+        )
 
     def drop_cut(self) -> None:
-        """Drop the connections that the fault switches refuse now."""
+        """Drop the connections that the current fault switches refuse."""
         self._loop.call_soon_threadsafe(self._drop_cut)
 
     def drop_writers(self) -> None:
@@ -138,11 +144,11 @@
     def begin_rebuilding(self) -> None:
         """Drop all connections, refuse new ones and wait until none is left.
 
-        A read that began before the rows are dropped would else end after it
-        and answer with a mix of two histories.
+        Otherwise a read that began before the rows are dropped could end after it
+        and return a mix of two histories.
 
         Raises:
-            TimeoutError: a statement still runs; the rows must stay.
+            TimeoutError: a statement still runs, so the rows must not be dropped.
         """
         self._is_rebuilding = True
         asyncio.run_coroutine_threadsafe(self._drop_all(), self._loop).result(
@@ -150,7 +156,7 @@
         )
 
     def end_rebuilding(self) -> None:
-        """Take callers again."""
+        """Accept callers again."""
         self._is_rebuilding = False
 
     def _is_refusing(self) -> bool:
@@ -175,10 +181,13 @@
             return asyncio.StreamReaderProtocol(reader, self._serve, loop=loop)
 
         server = await loop.create_server(
-            protocol, self._wanted.host, self._wanted.port, backlog=1024
+            protocol,
+            self._requested_address.host,
+            self._requested_address.port,
+            backlog=1024,
         )
         port = server.sockets[0].getsockname()[1]
-        self._address = Address(self._wanted.host, int(port))
+        self._address = Address(self._requested_address.host, int(port))
         return server
 
     async def _serve(
@@ -190,7 +199,7 @@
             return
         caller_writer = CallerWriter(writer)
         stream = MysqlStream(reader, caller_writer)  # type: ignore[arg-type]
-        connection = StandinConnection(stream, self._new_session(), self._parts)
+        connection = StandinConnection(stream, self._new_session(), self._dependencies)
         connection.connection_id = next(self._ids)
         opened = OpenConnection(reader, caller_writer, connection)
         self._open.add(opened)
@@ -198,17 +207,17 @@
             await asyncio.sleep(self._connect_delay)
             await connection.serve()
         except (OSError, EOFError, ConnectionCutError):
-            # The caller or the network went away, or took too long to log in.
+            # The caller disconnected, the network failed or the login timed out.
             writer.transport.abort()
         except Exception as error:  # noqa: BLE001
-            # A malformed packet must cost its own connection only.
+            # A malformed packet must end only its own connection.
             log_event("connection_failed", level="WARNING", error=repr(error))
             writer.transport.abort()
         finally:
             self._open.discard(opened)
             writer.close()
 
-    def _each(self, action: Callable[[OpenConnection], None]) -> None:
+    def _for_each_connection(self, action: Callable[[OpenConnection], None]) -> None:
         for opened in list(self._open):
             action(opened)
 
@@ -225,10 +234,12 @@
 
     async def _drop_all(self) -> None:
         deadline = self._loop.time() + STOP_TIMEOUT
-        self._each(OpenConnection.drop)
+        self._for_each_connection(OpenConnection.drop)
         while self._open:
             if self._loop.time() > deadline:
-                raise TimeoutError("a statement of a dropped caller still runs")
+                raise TimeoutError(
+                    "a statement of a dropped connection is still running"
+                )
             await asyncio.sleep(0.005)
 
     async def _stop(self) -> None:
--- a/packages/standin/src/dogwoodspool_standin/log_source.py
+++ b/packages/standin/src/dogwoodspool_standin/log_source.py
@@ -1,4 +1,4 @@
-"""The followed primary's log, over MySQL's protocol."""
+"""Client for the followed primary's log, over MySQL's protocol."""
 
 import contextlib
 import socket
@@ -37,13 +37,18 @@
         self._connection.connect(self._socket)
 
     def pull(self, last: Position, wait_ms: int) -> LogBatch:
-        """Ask for the entries after the last one known."""
+        """Request the log entries after ``last``, waiting up to ``wait_ms`` for one.
+
+        Raises:
+            ReplicationError: the answer has no rows.
+            pymysql.MySQLError: the source reports an error, or the network does.
+        """
         statement = _LOG % (last.term, last.offset, const.REPLICATION_BATCH, wait_ms)
         with self._connection.cursor() as cursor:
             cursor.execute(statement)
             rows = cursor.fetchall()
         if not rows:
-            raise ReplicationError("the source gave no answer")
+            raise ReplicationError("the source returned no rows for STANDIN LOG")
         term, last_offset, is_match, waited_ms, failure_domain = rows[0][:5]
         entries = tuple(
             LogEntry.from_json(*row[5:]) for row in rows if row[5] is not None
@@ -53,12 +58,12 @@
         )
 
     def interrupt(self) -> None:
-        """End a wait of another thread for an answer."""
+        """Interrupt another thread that waits for an answer."""
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close; the other side may be silent, and then never answers a word."""
+        """Close the connection, also if the other side no longer responds."""
         with contextlib.suppress(pymysql.MySQLError, OSError):
             self._connection.close()
         self._socket.close()
--- a/packages/standin/src/dogwoodspool_standin/main.py
+++ b/packages/standin/src/dogwoodspool_standin/main.py
@@ -49,7 +49,7 @@
 
 
 def main() -> int:
-    """Serve until a signal comes."""
+    """Serve until a stop signal is received."""
     settings = read_settings(__doc__ or "", StandinSettings)
     set_up_logging(PROGRAM, settings.name, settings.log_level)
     stop = stop_event_on_signals()
--- a/packages/standin/src/dogwoodspool_standin/member.py
+++ b/packages/standin/src/dogwoodspool_standin/member.py
@@ -14,20 +14,20 @@
 
 
 class GroupMember:
-    """Decide what this server may write and which log it has.
+    """Decide what this server may write and which log it holds.
 
-    Every commit and every change of role or fence holds one lock, so that after
-    a fence, a promotion or a new link has been answered no commit of before can
-    still land.
+    Every commit and every change of role or fence holds one lock, so that no
+    earlier commit can still complete after a fence, a promotion or a new link has
+    been confirmed.
 
     Args:
         name: name of the server.
         failure_domain: where it runs.
-        initial: state of the very first start; a saved one goes before it.
+        initial: state for the first start; a saved state takes precedence.
         storage: rows and log.
-        store: where the state is kept.
+        store: durable storage of the state.
         clock: the runtime's clock.
-        is_leaving: whether the server asks for no new work.
+        is_leaving: whether the server reports that it takes no new work.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         self._log_connection.create_log()
         self._offset = self._log_connection.last_offset()
         self._generation = 1
-        self._round_of_waits = 0
+        self._wait_generation = 0
         self._fresh_at: float | None = None
         self._state = store.load() or initial
         store.save(self._state)
 
     @property
     def is_primary(self) -> bool:
-        """Whether the server takes itself for the primary."""
+        """Whether the server's own role is primary."""
         return self._state.role is Role.PRIMARY
 
     def close(self) -> None:
@@ -70,7 +70,7 @@
             self._store.close()
 
     def status(self) -> ServerStatus:
-        """Return what ``SHOW STANDIN STATUS`` says."""
+        """Return the status that ``SHOW STANDIN STATUS`` reports."""
         with self._condition:
             return ServerStatus(
                 server=self._name,
@@ -81,7 +81,7 @@
             )
 
     def link(self) -> Link | None:
-        """Return what to follow now."""
+        """Return the current link, None if the server follows no other."""
         with self._condition:
             if self._state.role is Role.PRIMARY or self._state.follow is None:
                 return None
@@ -109,7 +109,7 @@
         """Commit a caller's write transaction as one log entry.
 
         Raises:
-            ReadOnlyError: the server lost the right to write since the
+            ReadOnlyError: the server lost the right to write after the
                 transaction began; nothing is committed.
         """
         with self._condition:
@@ -120,39 +120,47 @@
             self._condition.notify_all()
 
     def wait_for(self, position: Position, timeout: float) -> ServerStatus:
-        """Wait until the position is reached or the time (seconds) ran out."""
+        """Wait until the position is reached or the timeout (seconds) expires.
+
+        Returns:
+            The status at the end of the wait.
+        """
         deadline = self._clock.now() + timeout
         with self._condition:
-            round_of_waits = self._round_of_waits
-            while not self._has(position) and round_of_waits == self._round_of_waits:
+            wait_generation = self._wait_generation
+            while (
+                not self._has_reached(position)
+                and wait_generation == self._wait_generation
+            ):
                 remaining = deadline - self._clock.now()
                 if remaining <= 0:
                     break
                 self._clock.wait(self._condition, remaining)
         return self.status()
 
-    def end_waits(self) -> None:
-        """Let every wait for a position end now, reached or not.
+    def interrupt_waits(self) -> None:
+        """End every wait for a position now, whether it was reached or not.
 
-        Else a wait would keep the server from dropping rows, or from stopping.
+        Otherwise a wait would prevent the server from dropping rows or stopping.
         """
         with self._condition:
-            self._round_of_waits += 1
+            self._wait_generation += 1
             self._condition.notify_all()
 
     def promote(self, term: int) -> ServerStatus:
-        """Become the primary of a term; the same order again changes nothing.
+        """Become the primary of a term; repeating the command has no effect.
 
         Raises:
-            StaleTermError: an order of a newer term was obeyed before.
+            StaleTermError: the term is not newer than the accepted one, or it is
+                older than the fenced one.
         """
         with self._condition:
             state = self._state
             if state.role is Role.PRIMARY and state.term == term:
                 return self.status()
-            if term <= self._obeyed_term() or term < state.fenced_term:
-                raise StaleTermError(f"term {term} is not newer than the one in force")
-            self._change(
+            if term <= self._highest_accepted_term() or term < state.fenced_term:
+                raise StaleTermError(f"term {term} is not newer than the current one")
+            self._change_role(
                 replace(state, role=Role.PRIMARY, term=term, follow=None, follow_term=0)
             )
         log_event("promoted", term=term, offset=self._offset)
@@ -161,31 +169,33 @@
     def follow(self, address: Address, term: int) -> ServerStatus:
         """Become a replica of another server.
 
-        The status keeps the old term until the log was compared with that of the
-        followed server: entries past the branch are none of the new term's.
+        The status keeps the old term until the log has been compared with that of
+        the followed server: entries after the point where the logs diverge do not
+        belong to the new term.
 
         Raises:
-            StaleTermError: an order of a newer term was obeyed before, or this
-                server is the primary of that very term.
+            StaleTermError: a newer term was already accepted or fenced, or this
+                server is the primary of the given term.
         """
         with self._condition:
             state = self._state
             is_own_term = state.role is Role.PRIMARY and state.term == term
-            obeyed = max(self._obeyed_term(), state.fenced_term)
-            if term < obeyed or is_own_term:
-                raise StaleTermError(f"term {term} is not newer than the one in force")
+            highest_term = max(self._highest_accepted_term(), state.fenced_term)
+            if term < highest_term or is_own_term:
+                raise StaleTermError(f"term {term} is not newer than the current one")
             if state.follow == address and state.follow_term == term:
                 return self.status()
-            self._change(
+            self._change_role(
                 replace(state, role=Role.REPLICA, follow=address, follow_term=term)
             )
         log_event("following", address=address, term=term)
         return self.status()
 
     def fence(self, term: int) -> ServerStatus:
-        """Refuse writes under terms older than this one, from the answer on.
+        """Reject writes under terms older than this one once this has returned.
 
-        It waits for a commit in flight; an open transaction cannot commit then.
+        A commit in progress is waited for; a transaction that is still open can
+        no longer commit.
         """
         with self._condition:
             if term > self._state.fenced_term:
@@ -194,15 +204,16 @@
         return self.status()
 
     def read_log(self, last: Position, limit: int, wait: float) -> LogBatch:
-        """Return entries after the puller's last one, waiting for the first.
+        """Return the entries after the replica's last one, waiting for the first.
 
         Args:
-            last: term and offset of the puller's last entry.
-            limit: most entries in one answer.
-            wait: seconds to hold the answer back while there is nothing new.
+            last: term and offset of the replica's last entry.
+            limit: maximum number of entries in one answer.
+            wait: maximum time to wait for a new entry, in seconds.
 
         Raises:
-            ReadOnlyError: this server is no primary, so it has no log to give.
+            ReadOnlyError: this server is not the primary, so it serves no log, or
+                its role changed during the call.
         """
         started = self._clock.now()
         with self._condition:
@@ -213,31 +224,33 @@
                     break
                 self._clock.wait(self._condition, remaining)
             if self._state.role is not Role.PRIMARY:
-                raise ReadOnlyError("The server is a replica; it gives no log")
+                raise ReadOnlyError(
+                    "The server is a replica and does not serve its log"
+                )
             term, offset = self._state.term, self._offset
             waited_ms = (self._clock.now() - started) * MILLISECONDS
         with self._log_lock:
             is_match = self._log_connection.term_at(last.offset) == last.term
             entries = self._log_connection.read_log(last.offset, limit)
         if generation != self._generation:
-            raise ReadOnlyError("The server changed its role during the answer")
-        known = tuple(entry for entry in entries if entry.offset <= offset)
+            raise ReadOnlyError("The role of the server changed while the log was read")
+        committed = tuple(entry for entry in entries if entry.offset <= offset)
         return LogBatch(
             source_term=term,
             last_offset=offset,
             is_match=is_match,
             waited_ms=waited_ms,
             failure_domain=self._failure_domain,
-            entries=known if is_match else (),
+            entries=committed if is_match else (),
         )
 
     def commit_replicated(
         self, link: Link, connection: StorageConnection, entries: tuple[LogEntry, ...]
     ) -> None:
-        """Commit entries that were pulled over a link and run already.
+        """Commit entries that were pulled over a link and already executed.
 
         Raises:
-            ReplicationError: the link is not in force any more.
+            ReplicationError: the link is no longer current.
         """
         with self._condition:
             self._check_link(link)
@@ -245,8 +258,12 @@
             self._offset = entries[-1].offset
             self._condition.notify_all()
 
-    def commit_dropped(self, link: Link, connection: StorageConnection) -> None:
-        """Commit that all rows and the whole log were dropped."""
+    def commit_reset(self, link: Link, connection: StorageConnection) -> None:
+        """Commit the removal of all rows and the whole log.
+
+        Raises:
+            ReplicationError: the link is no longer current.
+        """
         with self._condition:
             self._check_link(link)
             self._fresh_at = None
@@ -255,7 +272,11 @@
             self._condition.notify_all()
 
     def adopt_lineage(self, link: Link, term: int) -> None:
-        """Note that the log was found to be a part of the source's log."""
+        """Adopt the source's term: this log is a prefix of the source's log.
+
+        Raises:
+            ReplicationError: the link is no longer current.
+        """
         with self._condition:
             self._check_link(link)
             if term == self._state.term:
@@ -264,8 +285,12 @@
             self._condition.notify_all()
         log_event("lineage_adopted", term=term, offset=self._offset)
 
-    def note_fresh(self, link: Link, fresh_at: float) -> None:
-        """Note a time at which this server's rows were all that its primary had."""
+    def record_caught_up(self, link: Link, fresh_at: float) -> None:
+        """Record a time at which this server had all rows of its primary.
+
+        Raises:
+            ReplicationError: the link is no longer current.
+        """
         with self._condition:
             self._check_link(link)
             self._fresh_at = max(fresh_at, self._fresh_at or fresh_at)
@@ -277,20 +302,20 @@
             return None
         return (self._clock.now() - self._fresh_at) * MILLISECONDS
 
-    def _has(self, position: Position) -> bool:
+    def _has_reached(self, position: Position) -> bool:
         return self._state.term >= position.term and self._offset >= position.offset
 
-    def _obeyed_term(self) -> int:
+    def _highest_accepted_term(self) -> int:
         return max(self._state.term, self._state.follow_term)
 
     def _check_link(self, link: Link) -> None:
         if link.generation != self._generation:
-            raise ReplicationError("the link is not in force any more")
+            raise ReplicationError("the link is no longer current")
 
-    def _change(self, state: DurableState) -> None:
+    def _change_role(self, state: DurableState) -> None:
         self._save(state)
         self._generation += 1
-        # Freshness against another primary says nothing about this one.
+        # Freshness relative to another primary does not apply to this one.
         self._fresh_at = None
         self._condition.notify_all()
 
--- a/packages/standin/src/dogwoodspool_standin/models.py
+++ b/packages/standin/src/dogwoodspool_standin/models.py
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedStatement:
-    """One write statement with what its answer depends on besides the rows.
+    """One write statement with the values it depends on besides the rows.
 
     Attributes:
-        sql: text as SQLite ran it.
-        now: wall clock that ``NOW()`` gave, seconds since the epoch, so that a
-            replica writes the same value later.
-        last_insert_id: what ``LAST_INSERT_ID()`` gave.
+        sql: text that SQLite executed.
+        now: wall-clock time that ``NOW()`` returned, in seconds since the epoch,
+            so that a replica writes the same value later.
+        last_insert_id: value that ``LAST_INSERT_ID()`` returned.
     """
 
     sql: str
@@ -42,7 +42,7 @@
 
     @classmethod
     def from_json(cls, offset: int, term: int, text: str) -> Self:
-        """Build the entry from its parts as they are stored and sent."""
+        """Build the entry from its stored or received fields."""
         statements = tuple(LoggedStatement(*item) for item in json.loads(text))
         return cls(offset, term, statements)
 
@@ -52,12 +52,12 @@
     """Answer to one pull of the log.
 
     Attributes:
-        source_term: term of the lineage of the server that answers.
-        last_offset: its last entry when it answered.
-        is_match: whether the puller's last entry is part of its log.
-        waited_ms: time for which it held the pull back.
-        failure_domain: where it runs.
-        entries: entries after the puller's last one, empty without a match.
+        source_term: term of the answering server's log.
+        last_offset: offset of its last entry when it answered.
+        is_match: whether the replica's last entry is part of its log.
+        waited_ms: time in milliseconds that it waited for a new entry.
+        failure_domain: failure domain of the answering server.
+        entries: entries after the replica's last one, empty without a match.
     """
 
     source_term: int
@@ -70,11 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """What a replica was told to follow.
+    """The server and term that a replica was told to follow.
 
     Attributes:
-        generation: grows with each change of role or followed server, so that
-            work begun under an earlier one is recognised and thrown away.
+        generation: incremented with each change of role or followed server, so
+            that work begun under an earlier one is recognised and discarded.
     """
 
     address: Address
@@ -84,12 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableState:
-    """What a server knows about itself again after a restart.
+    """State of a server that survives a restart.
 
     Attributes:
-        term: term of the lineage that its rows belong to.
-        fenced_term: writes under an older term are refused.
-        follow: the server that it follows, None on a primary or an idle replica.
+        term: term of the log that its rows belong to.
+        fenced_term: writes under an older term are rejected.
+        follow: the server that it follows, None on a primary or on a replica that
+            follows none.
         follow_term: term under which it was told to follow.
     """
 
@@ -101,8 +102,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """Outcome of a statement without rows."""
+class OkResult:
+    """Result of a statement without rows."""
 
     affected_rows: int = 0
     last_insert_id: int = 0
@@ -110,18 +111,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """Head of a result; the rest is fetched chunk by chunk."""
+    """First chunk of a result; the rest is fetched chunk by chunk.
+
+    Attributes:
+        is_complete: whether the first chunk is the complete result.
+    """
 
     columns: tuple[str, ...]
-    first: Sequence[Sequence[Any]]
-    is_whole: bool
+    first_chunk: Sequence[Sequence[Any]]
+    is_complete: bool
 
 
-Outcome = Done | Rows
+Outcome = OkResult | Rows
 
 
 class StatementKind(Enum):
-    """How a statement is carried out."""
+    """Kind of a statement, which determines how it is executed."""
 
     READ = auto()
     WRITE = auto()
@@ -139,13 +144,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """A caller's statement after its first reading.
+    """A classified statement of a caller.
 
     Attributes:
         sql: text for SQLite.
-        original: text as it came, for a translation where SQLite refuses ``sql``.
-        is_locking: a read that takes the write lock (``FOR UPDATE``).
-        insert_table: table of an insert, else None.
+        original: text as received, translated if SQLite rejects ``sql``.
+        is_locking: whether a read takes the write lock, such as ``FOR UPDATE``.
+        insert_table: table of an insert, None for other statements.
     """
 
     kind: StatementKind
--- a/packages/standin/src/dogwoodspool_standin/replication.py
+++ b/packages/standin/src/dogwoodspool_standin/replication.py
@@ -19,26 +19,26 @@
 from .storage import Storage, StorageConnection
 
 
-class Callers(Protocol):
-    """The callers' side, which must be empty while rows are dropped."""
+class CallerConnections(Protocol):
+    """Connections of callers; none may be open while rows are dropped."""
 
     def begin_rebuilding(self) -> None:
         """Drop all connections and refuse new ones."""
         ...
 
     def end_rebuilding(self) -> None:
-        """Take callers again."""
+        """Accept callers again."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class PendingBatch:
-    """Pulled entries that are held back to imitate lag.
+    """Pulled entries whose application is delayed to simulate lag.
 
     Attributes:
-        received: monotonic time at which they came.
-        fresh_at: a time at which the source had no entry after these; None
-            where more were known to follow.
+        received: monotonic time at which they were received.
+        fresh_at: a time at which the source had no entry after these; None if
+            the source had more entries.
     """
 
     received: float
@@ -49,16 +49,16 @@
 class Replicator:
     """Keep this server's log a prefix of its primary's log.
 
-    One thread follows whatever link is in force. A dead link is opened again
-    with backoff; each wait is bounded.
+    One thread follows the current link. A failed link is reopened with backoff;
+    each wait is bounded.
 
     Args:
         member: this server.
-        storage: its rows and log.
-        callers: its callers, dropped while rows are.
-        faults: what is broken on purpose.
-        shared_key: password of replicas.
-        failure_domain: where this server runs.
+        storage: rows and log of this server.
+        callers: connections of callers, closed while rows are dropped.
+        faults: the injected faults.
+        shared_key: password with which replicas log in.
+        failure_domain: failure domain of this server.
         clock: the runtime's clock.
     """
 
@@ -67,7 +67,7 @@
         *,
         member: GroupMember,
         storage: Storage,
-        callers: Callers,
+        callers: CallerConnections,
         faults: FaultSwitches,
         shared_key: str,
         failure_domain: str,
@@ -90,21 +90,22 @@
         self._thread.daemon = True
 
     def set_up(self) -> None:
-        """Begin to follow."""
+        """Start replication."""
         self._thread.start()
 
     def unload(self) -> None:
-        """Stop following."""
+        """Stop replication."""
         self._stopped.set()
         self.link_changed()
         self._thread.join(const.STOP_TIMEOUT)
 
     def link_changed(self) -> None:
-        """Turn to the link in force now.
+        """Switch to the current link at once.
 
-        Without it a pull from a primary that went silent, or the pause after a
-        failure, would first run its time: so much later would a replica have
-        the first write of the new primary, whose caller may wait for just that.
+        Otherwise a pull from an unresponsive primary, or the backoff after a
+        failure, would first run to its end, and the replica would receive the
+        first write of the new primary that much later, while the caller of that
+        write may be waiting for exactly this replica.
         """
         source = self._source
         if source is not None:
@@ -162,42 +163,47 @@
             source.close()
 
     def _pull(self, link: Link, source: LogSource, fetched: Position) -> Position:
-        """Ask once; return the last entry known of now."""
+        """Pull once; return the position of the last entry pulled so far."""
         if self._pending_entries() >= const.REPLICATION_MAX_PENDING:
             self._stopped.wait(const.REPLICATION_FIRST_BACKOFF)
             return fetched
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         batch = source.pull(fetched, self._wait_ms())
         if self._usable_link() != link:
-            # It was replaced or switched off during the pull.
+            # The link was replaced or disabled during the pull.
             return fetched
         if self._faults.is_cut(batch.failure_domain):
-            raise ReplicationError(f"cut off from {batch.failure_domain}")
+            raise ReplicationError(
+                f"cut off from failure domain {batch.failure_domain}"
+            )
         if batch.source_term < link.term:
             raise ReplicationError(
-                f"the source has term {batch.source_term}, not {link.term} yet"
+                f"source has term {batch.source_term}, expected {link.term} or newer"
             )
         if not batch.is_match:
             return self._handle_divergence(link, batch, fetched)
         self._member.adopt_lineage(link, batch.source_term)
         self._backoff = const.REPLICATION_FIRST_BACKOFF
-        return self._keep(batch, fetched, asked)
+        return self._enqueue(batch, fetched, requested_at)
 
-    def _keep(self, batch: LogBatch, fetched: Position, asked: float) -> Position:
+    def _enqueue(
+        self, batch: LogBatch, fetched: Position, requested_at: float
+    ) -> Position:
         last = fetched
         if batch.entries:
             last = Position(batch.entries[-1].term, batch.entries[-1].offset)
-        # The answer was made no earlier than this, by this server's own clock.
+        # The source built its answer no earlier than ``requested_at + waited`` on this
+        # server's clock.
         waited = batch.waited_ms / MILLISECONDS * const.REPLICATION_CLOCK_MARGIN
-        is_all = last.offset == batch.last_offset
-        fresh_at = asked + waited if is_all else None
+        is_up_to_date = last.offset == batch.last_offset
+        fresh_at = requested_at + waited if is_up_to_date else None
         self._pending.append(PendingBatch(self._clock.now(), batch.entries, fresh_at))
         return last
 
     def _handle_divergence(
         self, link: Link, batch: LogBatch, fetched: Position
     ) -> Position:
-        """Drop rows that are none of the primary's history, to replay it all."""
+        """Drop all rows if they diverge from the primary's log, to replay it whole."""
         self._pending.clear()
         applied = self._member.last_entry()
         if applied != fetched:
@@ -210,36 +216,36 @@
             source_term=batch.source_term,
         )
         try:
-            self._member.end_waits()
+            self._member.interrupt_waits()
             self._callers.begin_rebuilding()
-            self._drop_rows(link)
+            self._drop_all_tables(link)
             self._member.adopt_lineage(link, batch.source_term)
         finally:
             self._callers.end_rebuilding()
         return Position(0, 0)
 
-    def _drop_rows(self, link: Link) -> None:
-        connection = self._writer()
+    def _drop_all_tables(self, link: Link) -> None:
+        connection = self._acquire_connection()
         try:
             connection.begin(is_write=True)
-            connection.drop_rows()
-            self._member.commit_dropped(link, connection)
+            connection.drop_all_tables()
+            self._member.commit_reset(link, connection)
         finally:
             connection.rollback()
             self._storage.write_lock.release()
 
     def _apply_due(self, link: Link) -> None:
-        """Apply what was held back long enough."""
+        """Apply the pending batches whose delay has passed."""
         while self._pending and self._time_until_due() <= 0:
             batch = self._pending[0]
             if batch.entries:
                 self._apply(link, batch.entries)
             self._pending.popleft()
             if batch.fresh_at is not None:
-                self._member.note_fresh(link, batch.fresh_at)
+                self._member.record_caught_up(link, batch.fresh_at)
 
     def _apply(self, link: Link, entries: tuple[LogEntry, ...]) -> None:
-        connection = self._writer()
+        connection = self._acquire_connection()
         try:
             connection.begin(is_write=True)
             for entry in entries:
@@ -250,9 +256,9 @@
             connection.rollback()
             self._storage.write_lock.release()
 
-    def _writer(self) -> StorageConnection:
+    def _acquire_connection(self) -> StorageConnection:
         if self._connection is None:
-            raise StatementError("replication has not begun")
+            raise StatementError("replication has not started")
         self._storage.write_lock.acquire(const.REPLICATION_TIMEOUT)
         return self._connection
 
--- a/packages/standin/src/dogwoodspool_standin/server.py
+++ b/packages/standin/src/dogwoodspool_standin/server.py
@@ -1,4 +1,4 @@
-"""One backend server: its parts wired together."""
+"""One backend server of a stand-in database group."""
 
 import os
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 from .member import GroupMember
 from .models import DurableState
 from .replication import Replicator
-from .session import CallerSession, SessionParts
+from .session import CallerSession, SessionDependencies
 from .settings import StandinSettings
 from .slots import Slots
 from .state import StateStore
@@ -37,9 +37,9 @@
     """A backend server of a stand-in database group.
 
     Args:
-        settings: its settings; ports may be 0.
+        settings: settings of the server; ports may be 0.
         clock: the runtime's clock.
-        terminate: ends the process for the ``kill`` switch.
+        terminate: ends the process when the ``kill`` switch is set.
 
     Example:
         >>> server = StandinServer(settings, SystemClock())
@@ -79,7 +79,7 @@
                 REPLICATION_USER: shared_key,
             },
             faults=self._faults,
-            new_session=lambda: CallerSession(self._parts),
+            new_session=lambda: CallerSession(self._dependencies),
         )
         self._replicator = Replicator(
             member=self._member,
@@ -91,7 +91,7 @@
             clock=clock,
         )
         counters = StatementCounters()
-        self._parts = SessionParts(
+        self._dependencies = SessionDependencies(
             storage=self._storage,
             member=self._member,
             commands=StandinCommands(
@@ -109,7 +109,11 @@
             lock_wait=settings.lock_wait_ms / MILLISECONDS,
         )
         self._diagnostics = Diagnostics(
-            self._member, self._listener.registry, self._slots, counters, self._faults
+            self._member,
+            self._listener.connection_limiter,
+            self._slots,
+            counters,
+            self._faults,
         )
         self._http = JsonServer(
             Address.parse(settings.control_listen),
@@ -128,16 +132,16 @@
             )
             for peer in settings.announce_addresses
         ]
-        self._faults.set_listener(self._on_faults)
+        self._faults.set_change_handler(self._handle_fault_change)
 
     @property
     def address(self) -> Address:
-        """Where callers connect; known from ``set_up`` on."""
+        """Address for callers; its port is known after ``set_up``."""
         return self._listener.address
 
     @property
     def control_address(self) -> Address:
-        """Where the fault switches answer over HTTP."""
+        """HTTP address of the fault switches and the diagnostics."""
         return self._http.address
 
     @property
@@ -151,7 +155,7 @@
         return self._diagnostics
 
     def set_up(self) -> None:
-        """Serve callers, follow the primary and announce the server."""
+        """Start serving callers, replicating and announcing the server."""
         self._listener.set_up()
         self._http.set_up()
         self._replicator.set_up()
@@ -165,13 +169,13 @@
         )
 
     def unload(self) -> None:
-        """Stop; what was committed stays in the data folder."""
+        """Stop the server; committed data stays in the data folder."""
         self._faults.apply(FaultsRequest(freeze=False))
         for announcer in self._announcers:
             announcer.unload()
         self._replicator.unload()
         self._http.unload()
-        self._member.end_waits()
+        self._member.interrupt_waits()
         self._listener.unload()
         self._client.close()
         self._member.close()
@@ -190,7 +194,7 @@
             is_leaving=status.is_leaving,
         )
 
-    def _on_faults(self, request: FaultsRequest) -> None:
+    def _handle_fault_change(self, request: FaultsRequest) -> None:
         if request.silence_connections:
             self._listener.silence()
         if request.refuse_connections or request.cut_failure_domains:
--- a/packages/standin/src/dogwoodspool_standin/session.py
+++ b/packages/standin/src/dogwoodspool_standin/session.py
@@ -1,4 +1,4 @@
-"""Statements of one caller's connection, one after the other."""
+"""Execution of the statements of one caller's connection."""
 
 import re
 import sqlite3
@@ -11,19 +11,19 @@
 from .commands import StandinCommands
 from .const import ROWS_PER_CHUNK
 from .counters import StatementCounters
-from .dialect import read_statement, translate
+from .dialect import parse_statement, translate
 from .errors import (
     SQLITE_FAILURES,
     AccessDeniedError,
     DeadlockError,
     StatementError,
-    is_of_another_dialect,
+    may_need_translation,
     statement_error,
 )
 from .faults import FaultSwitches
 from .introspection import Introspection
 from .member import GroupMember
-from .models import Done, Outcome, Rows, Statement, StatementKind
+from .models import OkResult, Outcome, Rows, Statement, StatementKind
 from .slots import Slots
 from .storage import Storage, StorageConnection, column_names
 from .transaction import Transaction
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionParts:
-    """What all connections of a server share."""
+class SessionDependencies:
+    """Objects that all connections of a server share."""
 
     storage: Storage
     member: GroupMember
@@ -52,18 +52,21 @@
 
 
 class CallerSession:
-    """Run statements of one connection, one after the other.
+    """Run the statements of one connection, one after the other.
 
-    Its methods are called by one thread at a time.
+    Its methods must be called by one thread at a time.
     """
 
-    def __init__(self, parts: SessionParts) -> None:
+    def __init__(self, dependencies: SessionDependencies) -> None:
         self.database: str | None = None
         self.connection_id = 0
         self.is_replication = False
-        self._parts = parts
+        self._dependencies = dependencies
         self._transaction = Transaction(
-            parts.storage, parts.member, parts.counters, parts.lock_wait
+            dependencies.storage,
+            dependencies.member,
+            dependencies.counters,
+            dependencies.lock_wait,
         )
         self._is_autocommit = True
         self._holds_slot = False
@@ -81,32 +84,32 @@
 
     @property
     def holds_write_lock(self) -> bool:
-        """Whether an open transaction of this connection has written."""
+        """Whether an open transaction of this connection holds the write lock."""
         return self._transaction.holds_write_lock
 
     def execute(self, text: str) -> Outcome:
-        """Run one statement and return its outcome or the head of its rows.
+        """Run one statement and return its result or the first chunk of its rows.
 
         Raises:
-            StatementError: with MySQL's number.
+            StatementError: the statement failed; it carries MySQL's error number.
         """
-        self._parts.faults.pause_while_frozen()
+        self._dependencies.faults.pause_while_frozen()
         self.finish()
-        statement = read_statement(text)
+        statement = parse_statement(text)
         kind = statement.kind
         is_command = kind is StatementKind.COMMAND or (
             kind is StatementKind.SHOW
-            and self._parts.commands.is_command(statement.sql)
+            and self._dependencies.commands.is_command(statement.sql)
         )
         if is_command:
-            return self._parts.commands.execute(statement.sql)
+            return self._dependencies.commands.execute(statement.sql)
         if self.is_replication and kind is not StatementKind.SET:
-            raise AccessDeniedError("this user may read the log only")
+            raise AccessDeniedError("this user may only read the log")
         return self._execute_sql(statement)
 
     def fetch(self) -> Sequence[Sequence[Any]]:
-        """Return the next rows of the open result; none when it is whole."""
-        self._parts.faults.pause_while_frozen()
+        """Return the next rows of the open result; empty at its end."""
+        self._dependencies.faults.pause_while_frozen()
         if self._cursor is None:
             return []
         try:
@@ -119,14 +122,14 @@
         return rows
 
     def finish(self) -> None:
-        """Give up the rest of an open result."""
+        """Close an open result and release its slot."""
         if self._cursor is not None:
             self._cursor.close()
             self._cursor = None
         self._release_slot()
 
     def reset(self) -> None:
-        """Roll back and forget what the connection was told."""
+        """Roll back and reset the session state."""
         self.finish()
         self._transaction.rollback()
         self._is_autocommit = True
@@ -137,28 +140,28 @@
         self._transaction.close()
 
     def _execute_sql(self, statement: Statement) -> Outcome:
-        self._parts.counters.count_statement(statement.sql)
+        self._dependencies.counters.count_statement(statement.sql)
         match statement.kind:
             case StatementKind.SET:
                 return self._set(statement.sql)
             case StatementKind.VARIABLES:
-                return self._parts.introspection.select(
+                return self._dependencies.introspection.select(
                     statement.sql, self._is_autocommit
                 )
             case StatementKind.USE:
                 self.database = statement.sql.split()[-1].strip("`")
-                return Done()
+                return OkResult()
             case StatementKind.BEGIN:
                 self._commit()
                 self._transaction.open(bool(_SNAPSHOT.search(statement.sql)))
-                return Done()
+                return OkResult()
             case StatementKind.COMMIT:
                 return self._commit()
             case StatementKind.ROLLBACK:
                 self._transaction.rollback()
-                return Done()
+                return OkResult()
             case StatementKind.SHOW:
-                return self._parts.introspection.show(
+                return self._dependencies.introspection.show(
                     statement.sql, self._open_connection()
                 )
             case StatementKind.SCHEMA:
@@ -171,24 +174,24 @@
             case _:
                 return self._read(statement)
 
-    def _commit(self) -> Done:
+    def _commit(self) -> OkResult:
         if not self._transaction.has_work:
             self._transaction.rollback()
-            return Done()
+            return OkResult()
         self._take_slot()
         try:
-            self._serve()
+            self._simulate_service_time()
             self._transaction.commit()
         finally:
             self._release_slot()
-        return Done()
+        return OkResult()
 
     def _read(self, statement: Statement) -> Outcome:
         if not self._is_autocommit:
             self._transaction.open()
-        is_locking = statement.is_locking and self._parts.member.is_primary
+        is_locking = statement.is_locking and self._dependencies.member.is_primary
         if is_locking and self._transaction.is_open:
-            self._transaction.become_writer()
+            self._transaction.acquire_write_lock()
         self._take_slot()
         try:
             self._cursor = self._run(statement)
@@ -200,70 +203,70 @@
         except StatementError:
             self.finish()
             raise
-        is_whole = len(rows) < ROWS_PER_CHUNK
-        if is_whole:
+        is_complete = len(rows) < ROWS_PER_CHUNK
+        if is_complete:
             self.finish()
-        return Rows(columns, rows, is_whole)
+        return Rows(columns, rows, is_complete)
 
-    def _write(self, statement: Statement) -> Done:
+    def _write(self, statement: Statement) -> OkResult:
         if self._is_autocommit and not self._transaction.is_open:
             return self._write_alone(statement)
         self._transaction.open()
-        self._transaction.become_writer()
+        self._transaction.acquire_write_lock()
         self._take_slot()
         try:
             return self._run_write(statement)
         finally:
             self._release_slot()
 
-    def _write_alone(self, statement: Statement) -> Done:
-        """Write and commit as one."""
-        self._transaction.become_writer()
+    def _write_alone(self, statement: Statement) -> OkResult:
+        """Run a write statement and commit it as a transaction of its own."""
+        self._transaction.acquire_write_lock()
         try:
             self._take_slot()
-            done = self._run_write(statement)
+            result = self._run_write(statement)
             self._transaction.commit()
         finally:
             self._transaction.rollback()
             self._release_slot()
-        return done
+        return result
 
-    def _savepoint(self, statement: Statement) -> Done:
+    def _savepoint(self, statement: Statement) -> OkResult:
         if self._transaction.is_open:
-            self._transaction.become_writer()
+            self._transaction.acquire_write_lock()
             self._run_write(statement)
-        return Done()
+        return OkResult()
 
-    def _run_write(self, statement: Statement) -> Done:
+    def _run_write(self, statement: Statement) -> OkResult:
         connection = self._open_connection()
         try:
             cursor = self._run(statement)
             affected = max(0, cursor.rowcount)
             table = statement.insert_table
-            insert_id = connection.note_insert(table, cursor) if table else 0
+            insert_id = connection.record_insert_id(table, cursor) if table else 0
             cursor.close()
         except SQLITE_FAILURES as error:
             failure = statement_error(error)
             if isinstance(failure, DeadlockError):
                 self._transaction.rollback()
             raise failure from error
-        return Done(affected, insert_id)
+        return OkResult(affected, insert_id)
 
     def _run(self, statement: Statement) -> sqlite3.Cursor:
-        """Run a statement as it stands or, where SQLite refuses it, translated."""
-        self._serve()
+        """Run a statement, translated if SQLite rejects it as it is."""
+        self._simulate_service_time()
         connection = self._open_connection()
         last_insert_id = connection.last_insert_id
         sql = statement.sql
         try:
             cursor = connection.execute(sql)
         except SQLITE_FAILURES as error:
-            if not is_of_another_dialect(error):
+            if not may_need_translation(error):
                 raise
             sql = translate(statement.original)
             cursor = connection.execute(sql)
         if statement.kind is not StatementKind.READ:
-            self._transaction.record(connection.logged(sql, last_insert_id))
+            self._transaction.record(connection.logged_statement(sql, last_insert_id))
         return cursor
 
     def _open_connection(self) -> StorageConnection:
@@ -272,28 +275,28 @@
         connection.connection_id = self.connection_id
         return connection
 
-    def _serve(self) -> None:
-        """Take the service time of a statement, and none while frozen."""
-        service_time = self._parts.faults.service_time
-        if service_time:  # A sleep of 0 would still give up the processor.
-            self._parts.clock.sleep(service_time)
-        self._parts.faults.pause_while_frozen()
+    def _simulate_service_time(self) -> None:
+        """Wait for the simulated service time, then while the server is frozen."""
+        service_time = self._dependencies.faults.service_time
+        if service_time:  # A sleep of 0 would still yield the processor.
+            self._dependencies.clock.sleep(service_time)
+        self._dependencies.faults.pause_while_frozen()
 
-    def _set(self, sql: str) -> Done:
+    def _set(self, sql: str) -> OkResult:
         match = _AUTOCOMMIT.search(sql)
         if match is None:
-            return Done()
+            return OkResult()
         is_on = match.group(1).lower() not in _OFF
         if is_on and not self._is_autocommit:
             self._commit()
         self._is_autocommit = is_on
-        return Done()
+        return OkResult()
 
     def _take_slot(self) -> None:
-        self._parts.slots.acquire()
+        self._dependencies.slots.acquire()
         self._holds_slot = True
 
     def _release_slot(self) -> None:
         if self._holds_slot:
             self._holds_slot = False
-            self._parts.slots.release()
+            self._dependencies.slots.release()
--- a/packages/standin/src/dogwoodspool_standin/settings.py
+++ b/packages/standin/src/dogwoodspool_standin/settings.py
@@ -13,14 +13,16 @@
 
 
 class StandinSettings(BaseModel):
-    """What flags and environment variables say; times are in milliseconds.
+    """Settings from flags and environment variables; times are in milliseconds.
 
     Attributes:
-        role: role at the very first start; later starts go by the data folder.
-        follow: primary to follow at the very first start.
-        lock_wait_ms: wait for another transaction's write lock.
+        role: role at the first start; later starts use the state in the data
+            folder.
+        follow: primary to follow at the first start.
+        lock_wait_ms: maximum wait for another transaction's write lock.
         latency_ms: one-way delay added to each command and each answer.
-        ready_file: written as JSON with the addresses in use, once ready.
+        ready_file: file that receives the addresses in use as JSON once the server
+            is ready.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -64,5 +66,5 @@
 
     @property
     def follow_address(self) -> Address | None:
-        """The primary to follow at the very first start."""
+        """The primary to follow at the first start."""
         return Address.parse(self.follow) if self.follow else None
--- a/packages/standin/src/dogwoodspool_standin/slots.py
+++ b/packages/standin/src/dogwoodspool_standin/slots.py
@@ -1,4 +1,4 @@
-"""Slots: how many statements run at a time."""
+"""Limit on the number of statements that run concurrently."""
 
 import threading
 
@@ -8,11 +8,11 @@
 
 
 class Slots:
-    """Let at most ``limit`` statements run; more wait in the server.
+    """Let at most ``limit`` statements run concurrently; others wait.
 
     Args:
-        limit: statements that run at a time.
-        timeout: longest wait in seconds.
+        limit: maximum number of concurrent statements.
+        timeout: maximum wait for a slot, in seconds.
         clock: the runtime's clock.
     """
 
@@ -28,29 +28,29 @@
 
     @property
     def in_use(self) -> int:
-        """Statements that run now."""
+        """Number of statements that run now."""
         return self._in_use
 
     @property
     def peak(self) -> int:
-        """Most statements that ever ran at a time."""
+        """Highest number of concurrent statements."""
         return self._peak
 
     @property
     def waiting(self) -> int:
-        """Statements that wait now."""
+        """Number of statements that wait now."""
         return self._waiting
 
     @property
     def waits(self) -> int:
-        """Statements that ever had to wait."""
+        """Total number of statements that had to wait."""
         return self._waits
 
     def acquire(self) -> None:
-        """Take a slot.
+        """Acquire a slot, waiting for one if none is free.
 
         Raises:
-            SlotTimeoutError: none became free in time.
+            SlotTimeoutError: no slot became free within the timeout.
         """
         deadline = self._clock.now() + self._timeout
         with self._condition:
@@ -60,7 +60,7 @@
             self._peak = max(self._peak, self._in_use)
 
     def release(self) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         with self._condition:
             self._in_use -= 1
             self._condition.notify()
@@ -72,7 +72,9 @@
             while self._in_use >= self._limit:
                 remaining = deadline - self._clock.now()
                 if remaining <= 0:
-                    raise SlotTimeoutError("no slot became free in time")
+                    raise SlotTimeoutError(
+                        f"no slot became free within {self._timeout} s"
+                    )
                 self._clock.wait(self._condition, remaining)
         finally:
             self._waiting -= 1
--- a/packages/standin/src/dogwoodspool_standin/state.py
+++ b/packages/standin/src/dogwoodspool_standin/state.py
@@ -1,4 +1,4 @@
-"""Role, term and fence of one server, durable across restarts."""
+"""Durable storage of one server's role, term and fence."""
 
 import sqlite3
 from pathlib import Path
@@ -22,8 +22,8 @@
 class StateStore:
     """Keep ``DurableState`` in a SQLite file of its own.
 
-    In the file of the rows a fence would wait for an open transaction of some
-    caller that holds SQLite's write lock, perhaps for ever.
+    If the state were in the file of the rows, a fence would wait for an open
+    transaction of a caller that holds SQLite's write lock, possibly forever.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -33,8 +33,8 @@
             isolation_level=None,
             check_same_thread=False,
         )
-        # Two processes on one folder would both be the same server: the second
-        # finds the first one's lock, which ends with its process.
+        # Two processes on one data folder would both act as the same server. The
+        # second one fails on this lock, which lasts as long as the first process.
         self._connection.execute("PRAGMA locking_mode = EXCLUSIVE")
         try:
             self._connection.execute("PRAGMA synchronous = FULL")
@@ -43,10 +43,12 @@
             self._connection.execute("COMMIT")
         except sqlite3.Error as error:
             self._connection.close()
-            raise StorageError(f"{folder} cannot be used: {error}") from error
+            raise StorageError(
+                f"{folder} is not usable as data folder: {error}"
+            ) from error
 
     def load(self) -> DurableState | None:
-        """Return what was saved last, None at the very first start."""
+        """Return the last saved state, None at the first start."""
         row = self._connection.execute(_LOAD).fetchone()
         if row is None:
             return None
@@ -55,7 +57,7 @@
         return DurableState(Role(role), term, fenced_term, address, follow_term)
 
     def save(self, state: DurableState) -> None:
-        """Write the state; on return it outlives the process."""
+        """Save the state; once this returns, it survives the end of the process."""
         follow = str(state.follow) if state.follow else None
         self._connection.execute(
             _SAVE,
--- a/packages/standin/src/dogwoodspool_standin/storage.py
+++ b/packages/standin/src/dogwoodspool_standin/storage.py
@@ -31,10 +31,10 @@
 
 
 class WriteLock:
-    """Let one write transaction run at a time, across callers and replication.
+    """Serialize the write transactions of callers and replication.
 
-    SQLite has the same lock inside, but waits for it by polling; and a waiting
-    statement would hold a slot that the lock's holder needs for its commit.
+    SQLite has such a lock itself, but waits for it by polling, and a statement
+    that waits there would hold a slot that the lock's holder needs for its commit.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -43,13 +43,13 @@
         self._is_held = False
 
     def acquire(self, timeout: float) -> None:
-        """Take the lock.
+        """Acquire the lock.
 
         Args:
-            timeout: seconds.
+            timeout: maximum wait, in seconds.
 
         Raises:
-            LockWaitTimeoutError: the time ran out.
+            LockWaitTimeoutError: the lock was not released within the timeout.
         """
         deadline = self._clock.now() + timeout
         with self._condition:
@@ -63,16 +63,16 @@
             self._is_held = True
 
     def release(self) -> None:
-        """Give the lock back, from whichever thread."""
+        """Release the lock; any thread may do this."""
         with self._condition:
             self._is_held = False
             self._condition.notify()
 
 
 class StorageConnection:
-    """One SQLite connection with the functions that callers' SQL expects.
+    """One SQLite connection with the MySQL functions that callers use.
 
-    It is used by one thread at a time, not always the same one.
+    It is used by one thread at a time, not necessarily the same one.
     """
 
     def __init__(self, path: Path, clock: Clock) -> None:
@@ -89,14 +89,14 @@
             check_same_thread=False,
         )
         self._connection.execute("PRAGMA journal_mode = WAL")
-        # A killed process loses nothing of this; a machine that loses its power
-        # may, which this stand-in does not imitate.
+        # Committed data survives a killed process. It may be lost in a power
+        # failure of the machine, which this stand-in does not simulate.
         self._connection.execute("PRAGMA synchronous = NORMAL")
         self._create_functions()
 
     @property
     def last_insert_id(self) -> int:
-        """First automatic key of this connection's last insert that made one."""
+        """First generated key of this connection's last insert that generated one."""
         return self._last_insert_id
 
     @property
@@ -105,16 +105,20 @@
         return self._connection.in_transaction
 
     def execute(self, sql: str) -> sqlite3.Cursor:
-        """Run one statement as of now; raise SQLite's own error."""
-        self._now = time.time()  # Data for NOW(), not the base of a decision.
+        """Run one statement; ``NOW()`` returns the current time in it.
+
+        Raises:
+            sqlite3.Error: SQLite's own error, not converted.
+        """
+        self._now = time.time()  # Value of NOW(); no decision depends on it.
         return self._connection.execute(sql)
 
-    def logged(self, sql: str, last_insert_id: int) -> LoggedStatement:
-        """Return the statement run last with what its outcome depended on."""
+    def logged_statement(self, sql: str, last_insert_id: int) -> LoggedStatement:
+        """Return the last executed statement with the values it depended on."""
         return LoggedStatement(sql, self._now, last_insert_id)
 
     def replay(self, statement: LoggedStatement) -> None:
-        """Run a logged statement so that it writes what it wrote at first."""
+        """Run a logged statement so that it writes the original values."""
         self._now = statement.now
         self._last_insert_id = statement.last_insert_id
         self._is_replaying = True
@@ -123,8 +127,8 @@
         finally:
             self._is_replaying = False
 
-    def note_insert(self, table: str, cursor: sqlite3.Cursor) -> int:
-        """Return the first automatic key of an insert, 0 where there is none."""
+    def record_insert_id(self, table: str, cursor: sqlite3.Cursor) -> int:
+        """Record and return the first generated key of an insert, 0 for none."""
         row = self._connection.execute(_ROW_IDENTITY, (table,)).fetchone()
         if row is None or cursor.rowcount < 1 or cursor.lastrowid is None:
             return 0
@@ -132,23 +136,23 @@
         return self._last_insert_id
 
     def begin(self, is_write: bool) -> None:
-        """Open a transaction; the write lock is held by the caller of a write."""
+        """Begin a transaction; for a write, the calling code holds the write lock."""
         self._run("BEGIN IMMEDIATE" if is_write else "BEGIN")
 
     def commit(self, entries: Iterable[LogEntry] = ()) -> None:
-        """Commit rows and their log entries as one."""
+        """Commit rows and their log entries atomically."""
         for entry in entries:
             row = (entry.offset, entry.term, entry.statements_json())
             self._connection.execute(_INSERT_LOG, row)
         self._run("COMMIT")
 
     def rollback(self) -> None:
-        """Roll back what is open, if anything is."""
+        """Roll back the open transaction, if there is one."""
         if self._connection.in_transaction:
             self._run("ROLLBACK")
 
-    def drop_rows(self) -> None:
-        """Drop every table and the log, inside the open transaction."""
+    def drop_all_tables(self) -> None:
+        """Drop all tables, views and the log within the open transaction."""
         names = self._connection.execute(
             "SELECT type, name FROM sqlite_master "
             "WHERE type IN ('table', 'view') AND name NOT LIKE 'sqlite~_%' ESCAPE '~'"
@@ -158,7 +162,7 @@
         self._connection.execute(_CREATE_LOG)
 
     def read_log(self, after: int, limit: int) -> tuple[LogEntry, ...]:
-        """Read log entries in order."""
+        """Return up to ``limit`` log entries after an offset, in order."""
         rows = self._connection.execute(
             f'SELECT "offset", term, statements FROM {LOG_TABLE} '
             'WHERE "offset" > ? ORDER BY "offset" LIMIT ?',
@@ -167,7 +171,7 @@
         return tuple(LogEntry.from_json(*row) for row in rows)
 
     def term_at(self, offset: int) -> int | None:
-        """Return the term of one log entry, None where there is no such entry."""
+        """Return the term of a log entry, 0 for offset 0, None for a missing entry."""
         if offset == 0:
             return 0
         row = self._connection.execute(
@@ -188,7 +192,7 @@
         return [str(row[0]) for row in rows]
 
     def create_log(self) -> None:
-        """Create the log's table where it is missing."""
+        """Create the log table if it does not exist."""
         self._connection.execute(_CREATE_LOG)
 
     def close(self) -> None:
@@ -233,7 +237,7 @@
         return self._write_lock
 
     def connect(self) -> StorageConnection:
-        """Open one more connection."""
+        """Open a new connection."""
         return StorageConnection(self._path, self._clock)
 
 
--- a/packages/standin/src/dogwoodspool_standin/streams.py
+++ b/packages/standin/src/dogwoodspool_standin/streams.py
@@ -1,4 +1,4 @@
-"""The two ends of a caller's connection, which can be silenced."""
+"""Reader and writer of a caller's connection, which can be silenced."""
 
 import asyncio
 from typing import Final
@@ -6,20 +6,20 @@
 from .errors import ConnectionCutError
 
 _HEADER_BYTES: Final = 4
-_SWALLOW_BYTES: Final = 65_536
+_DISCARD_CHUNK_BYTES: Final = 65_536
 
 
 class CallerReader(asyncio.StreamReader):
-    """Read whole packet headers, or swallow everything once silenced."""
+    """Read complete packet headers, or discard all input once silenced."""
 
     is_silenced = False
 
     async def read(self, n: int = -1) -> bytes:
-        """Read a packet's header.
+        """Read a packet's header completely.
 
-        mysql-mimic takes what one read brings as the whole header. Where the
+        mysql-mimic treats the result of one read as the complete header. If the
         network splits a header, that read is short and the connection would lose
-        its place in the stream; reading exactly that many bytes keeps it.
+        its position in the stream, so exactly ``n`` bytes are read here.
         """
         if n != _HEADER_BYTES:
             return await super().read(n)
@@ -29,21 +29,21 @@
             return b""
 
     async def readexactly(self, n: int) -> bytes:
-        """Read some bytes of a packet."""
+        """Read exactly ``n`` bytes, or discard all input once silenced."""
         data = await super().readexactly(n)
-        return await self._swallow() if self.is_silenced else data
+        return await self._discard_input() if self.is_silenced else data
 
-    async def _swallow(self) -> bytes:
-        while await super().read(_SWALLOW_BYTES):
+    async def _discard_input(self) -> bytes:
+        while await super().read(_DISCARD_CHUNK_BYTES):
             pass
         raise ConnectionCutError
 
 
 class CallerWriter:
-    """Write answers, or drop them once silenced.
+    """Write answers, or discard them once silenced.
 
-    It stands where mysql-mimic expects an ``asyncio.StreamWriter`` and has what
-    it uses of one.
+    It replaces the ``asyncio.StreamWriter`` that mysql-mimic expects and implements
+    the methods that mysql-mimic calls.
     """
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
@@ -52,15 +52,15 @@
 
     @property
     def transport(self) -> asyncio.WriteTransport:
-        """The transport, to be cut off."""
+        """The underlying transport, used to abort the connection."""
         return self._writer.transport
 
     def write(self, data: bytes) -> None:
-        """Send, unless silenced."""
+        """Send data unless silenced."""
         if not self.is_silenced:
             self._writer.write(data)
 
     async def drain(self) -> None:
-        """Wait until the caller has taken enough."""
+        """Wait until the write buffer has room."""
         if not self.is_silenced:
             await self._writer.drain()
--- a/packages/standin/src/dogwoodspool_standin/transaction.py
+++ b/packages/standin/src/dogwoodspool_standin/transaction.py
@@ -8,17 +8,17 @@
 
 
 class Transaction:
-    """Hold a connection to the rows, the write lock and what was written.
+    """Hold a storage connection, the write lock and the logged statements.
 
-    A transaction sees what is committed at each of its reads until its first
-    write or locking read; from then on it holds the write lock, so that it needs
-    no retry.
+    Until its first write or locking read, each read of a transaction sees the data
+    committed at that time. From then on the transaction holds the write lock, so
+    that it never has to be retried.
 
     Args:
         storage: rows and log.
-        member: this server, which commits writes.
+        member: this server's group member, which commits writes.
         counters: counts committed writes.
-        lock_wait: longest wait for the write lock, seconds.
+        lock_wait: maximum wait for the write lock, in seconds.
     """
 
     def __init__(
@@ -44,37 +44,38 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether a commit has something to do."""
+        """Whether a transaction is open in SQLite that a commit has to end."""
         return self._connection is not None and self._connection.is_in_transaction
 
     @property
     def holds_write_lock(self) -> bool:
-        """Whether the transaction has written or read with a lock."""
+        """Whether the transaction has made a write or a locking read."""
         return self._holds_write_lock
 
     @property
     def connection(self) -> StorageConnection:
-        """The connection to the rows, opened at its first use."""
+        """The storage connection, opened on first use."""
         if self._connection is None:
             self._connection = self._storage.connect()
         return self._connection
 
     def open(self, is_snapshot: bool = False) -> None:
-        """Begin; a snapshot is what all reads up to the end see."""
+        """Begin; with a snapshot, all reads see the data of its time."""
         self._is_open = True
         if is_snapshot:
             self.connection.begin(is_write=False)
 
-    def become_writer(self) -> None:
-        """Take the write lock, before a slot and never the other way round.
+    def acquire_write_lock(self) -> None:
+        """Acquire the write lock; this must come before acquiring a slot.
 
-        A statement that waited for the lock in a slot would keep the slot from
-        the lock's holder, whose commit needs one; both would wait until a
+        A statement that waited for the lock while holding a slot would deny that
+        slot to the lock's holder, whose commit needs one. Both would wait until a
         timeout.
 
         Raises:
-            ReadOnlyError: this server takes no writes.
-            LockWaitTimeoutError: another transaction kept the lock.
+            ReadOnlyError: this server accepts no writes.
+            LockWaitTimeoutError: another transaction did not release the lock
+                within the timeout.
         """
         self._member.check_writable()
         if self._holds_write_lock:
@@ -82,25 +83,27 @@
         self._storage.write_lock.acquire(self._lock_wait)
         self._holds_write_lock = True
         if self.has_work:
-            # A snapshot of before: SQLite says whether it is too old to write.
+            # A snapshot is already open: SQLite reports at the write whether it is
+            # too old.
             return
         try:
             self.connection.begin(is_write=True)
         except StatementError:
-            # With the lock but no transaction the next write would go in
-            # without a log entry, and no replica would ever have it.
+            # With the lock but without a transaction, the next write would be
+            # stored without a log entry and never reach a replica.
             self._release_write_lock()
             raise
 
     def record(self, statement: LoggedStatement) -> None:
-        """Note a write that was run, for the log entry."""
+        """Add an executed write statement to the log entry."""
         self._statements.append(statement)
 
     def commit(self) -> None:
-        """Commit what was written as one log entry; end in any case.
+        """Commit the writes as one log entry; the transaction ends in any case.
 
         Raises:
-            ReadOnlyError: the server lost the right to write; all is undone.
+            ReadOnlyError: the server lost the right to write; all changes are rolled
+                back.
         """
         try:
             if self._statements:
@@ -112,7 +115,7 @@
             self.rollback()
 
     def rollback(self) -> None:
-        """Undo what is not committed and give the write lock back."""
+        """Roll back uncommitted changes and release the write lock."""
         if self._connection is not None:
             self._connection.rollback()
         self._is_open = False
--- a/tests/standin/support.py
+++ b/tests/standin/support.py
@@ -1,4 +1,4 @@
-"""Stand-ins in this process and connections to them."""
+"""In-process stand-in servers and connections to them."""
 
 import contextlib
 import tempfile
@@ -15,7 +15,7 @@
 KEY = "shared-key"
 USER = "dogwoodspool"
 PASSWORD = "secret"
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
 Connection: TypeAlias = "pymysql.connections.Connection[pymysql.cursors.Cursor]"
 
@@ -30,7 +30,7 @@
         self._stops: dict[StandinServer, contextlib.ExitStack] = {}
 
     def start(self, name: str, **changes: Any) -> StandinServer:
-        """Start a server; its data folder is found again by its name."""
+        """Start a server; a server of the same name reuses its data folder."""
         values = {
             "name": name,
             "group": "orders",
@@ -69,11 +69,11 @@
         return connection
 
     def eventually(self, check: Callable[[], bool], what: str) -> None:
-        """Fail unless the check holds after a while."""
-        deadline = time.monotonic() + PATIENCE
+        """Fail unless the check becomes true within the timeout."""
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while not check():
             if time.monotonic() > deadline:
-                self.fail(f"never happened: {what}")
+                self.fail(f"timed out waiting for: {what}")
             time.sleep(0.01)
 
 
@@ -86,15 +86,15 @@
         "password": PASSWORD,
         "database": "orders",
         "autocommit": True,
-        "connect_timeout": PATIENCE,
-        "read_timeout": PATIENCE,
+        "connect_timeout": TIMEOUT_SECONDS,
+        "read_timeout": TIMEOUT_SECONDS,
         **changes,
     }
     return pymysql.connect(**values)
 
 
 def close(connection: Connection) -> None:
-    """Close a connection that may be broken."""
+    """Close a connection, ignoring errors if it is broken."""
     with contextlib.suppress(pymysql.MySQLError):
         connection.close()
 
@@ -117,7 +117,7 @@
 
 
 def command(connection: Connection, sql: str) -> dict[str, Any]:
-    """Run a statement that answers with the status row."""
+    """Run a statement that returns the status row."""
     with connection.cursor(pymysql.cursors.DictCursor) as cursor:
         cursor.execute(sql)
         row = cursor.fetchone()
@@ -127,7 +127,7 @@
 
 @contextlib.contextmanager
 def fails_with(test: unittest.TestCase, number: int) -> Iterator[None]:
-    """Expect MySQL's error number."""
+    """Expect an error with a MySQL error number."""
     with test.assertRaises(pymysql.MySQLError) as caught:
         yield
     test.assertEqual(caught.exception.args[0], number, caught.exception)
--- a/tests/standin/test_main.py
+++ b/tests/standin/test_main.py
@@ -1,4 +1,4 @@
-"""The program as a process of its own."""
+"""The stand-in program in a process of its own."""
 
 import json
 import signal
@@ -24,7 +24,7 @@
 
 
 class ProgramTest(StandinTestCase):
-    """Flags, environment, signals and the kill switch."""
+    """Flags, environment variables, signals and the kill switch."""
 
     def launch(self, *flags: str) -> tuple[subprocess.Popen[bytes], dict[str, Any]]:
         ready = self.folder / "ready.json"
@@ -41,10 +41,10 @@
         self.eventually(lambda: ready.exists() or process.poll() is not None, "ready")
         return process, json.loads(ready.read_text())
 
-    def test_killed_primary_returns_as_what_it_was(self) -> None:
-        # A process is killed between two statements. After its restart, committed
-        # rows are there, an open transaction is not, and it takes itself for the
-        # primary of its old term whatever its flags say.
+    def test_killed_primary_restarts_with_its_saved_state(self) -> None:
+        # A process is killed between two statements. After its restart it must have
+        # the committed rows, must not have those of the open transaction and must
+        # be the primary of its old term, whatever role its flags give.
         process, ready = self.launch("--role=primary")
         caller = connect(Address.parse(ready["address"]))
         run(caller, "CREATE TABLE lines (body VARCHAR(20))")
@@ -71,7 +71,7 @@
         process.send_signal(signal.SIGTERM)
         self.assertEqual(process.wait(), 0)
 
-    def test_bad_settings_end_with_one_clear_line(self) -> None:
+    def test_invalid_settings_are_reported_by_flag(self) -> None:
         finished = subprocess.run(
             [str(PROGRAM), "--name=a", "--slots=0"],
             env={},
@@ -103,7 +103,7 @@
 
 
 class ConnectorTest(StandinTestCase):
-    """The other stock client."""
+    """MySQL Connector/Python as a second client library besides PyMySQL."""
 
     def test_mysql_connector(self) -> None:
         server = self.start("a", role="primary")
--- a/tests/standin/test_replication.py
+++ b/tests/standin/test_replication.py
@@ -1,4 +1,4 @@
-"""Replicas, changes of the primary and what they drop."""
+"""Replication, changes of the primary and the rows that they drop."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -29,16 +29,16 @@
 
 
 def wait(caller: Connection, term: int, offset: int, timeout_ms: int = 5_000) -> bool:
-    """Wait for a position and tell whether it was reached."""
+    """Wait for a position and return whether it was reached."""
     sql = f"STANDIN WAIT TERM {term} OFFSET {offset} TIMEOUT {timeout_ms}"
     row = command(caller, sql)
     return bool(row["term"] >= term and row["offset"] >= offset)
 
 
 class ReplicationTest(StandinTestCase):
-    """A replica has its primary's rows, some time later."""
+    """A replica receives its primary's rows with a delay."""
 
-    def test_replica_gets_the_same_rows_and_takes_no_write(self) -> None:
+    def test_replica_has_the_same_rows_and_rejects_writes(self) -> None:
         primary, replica = self.start_pair()
         writer, reader = self.connect(primary), self.connect(replica)
         run(writer, CREATE)
@@ -56,41 +56,41 @@
         with fails_with(self, 1290):
             add(reader, "c")
 
-    def test_lag_is_an_upper_bound_of_the_age(self) -> None:
+    def test_reported_lag_is_an_upper_bound_of_the_data_age(self) -> None:
         primary, replica = self.start_pair(replication_lag_ms=300)
         writer, reader = self.connect(primary), self.connect(replica)
         run(writer, CREATE)
         self.assertTrue(wait(reader, 1, 1))
-        begun = time.monotonic()
+        started = time.monotonic()
         add(writer, "a")
         written = time.monotonic()
         while not run(reader, ALL):
             age_ms = (time.monotonic() - written) * 1000
             self.assertGreaterEqual(status(reader)["lag_ms"], min(age_ms, 299))
-        self.assertGreaterEqual(time.monotonic() - begun, 0.3)
+        self.assertGreaterEqual(time.monotonic() - started, 0.3)
         self.assertEqual(status(writer)["lag_ms"], 0)
 
-    def test_never_caught_up_has_no_lag(self) -> None:
+    def test_replica_that_never_caught_up_reports_no_lag(self) -> None:
         reader = self.connect(self.start("b"))
         self.assertIsNone(status(reader)["lag_ms"])
         self.assertFalse(wait(reader, 1, 1, timeout_ms=10))
 
-    def test_dead_link_is_opened_again(self) -> None:
-        # A primary is restarted. Its replica sees the link end, tries again with
-        # backoff and has the writes of afterwards too.
+    def test_failed_link_is_reopened(self) -> None:
+        # A primary is restarted. Its replica detects the end of the link, retries
+        # with backoff and must also receive the writes after the restart.
         primary, replica = self.start_pair()
         reader = self.connect(replica)
         address = str(primary.address)
         run(self.connect(primary), CREATE)
         self.assertTrue(wait(reader, 1, 1))
         self.stop(primary)
-        again = self.start("a", listen=address)
-        add(self.connect(again), "a")
+        restarted = self.start("a", listen=address)
+        add(self.connect(restarted), "a")
         self.assertTrue(wait(reader, 1, 2))
 
 
 class PromotionTest(StandinTestCase):
-    """What a change of the primary keeps and what it drops."""
+    """Rows that a change of the primary keeps, and rows that it drops."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -106,7 +106,7 @@
         self.assertEqual((row["role"], row["term"]), ("primary", 2))
 
     def follow(self, server: StandinServer) -> Connection:
-        """Let a server follow the new primary; connect when it has its log."""
+        """Make a server follow the new primary; connect once it has its term."""
         command(self.connect(server), f"STANDIN FOLLOW '{self.new.address}' TERM 2")
         self.eventually(
             lambda: server.diagnostics.collect()["status"]["term"] == 2, "new term"
@@ -114,9 +114,9 @@
         return self.connect(server)
 
     def test_diverged_tail_is_dropped(self) -> None:
-        # A primary that was cut off took a write that no replica has; meanwhile
-        # another server became primary. When the old one is told to follow, a
-        # read on it must not find the lost row, nor any connection of before.
+        # A primary that was cut off accepted a write that no replica has, while
+        # another server became primary. Once the old one follows the new one, no
+        # read on it may return the lost row and no earlier connection may survive.
         self.promote()
         add(self.old_writer, "lost")
         add(self.new_writer, "new")
@@ -128,10 +128,10 @@
         with self.assertRaises(pymysql.OperationalError):
             run(self.old_writer, ALL)
 
-    def test_long_wait_does_not_hold_up_the_replay(self) -> None:
-        # A caller waits on the old primary for a position that comes late or
-        # never, while that server has rows to drop. Did it wait for the caller,
-        # it would go on to show rows that were lost.
+    def test_long_wait_does_not_delay_the_replay(self) -> None:
+        # A caller waits on the old primary for a position that is reached late or
+        # never, while that server has rows to drop. If the server waited for the
+        # caller, it would continue to return rows that were lost.
         self.promote()
         add(self.old_writer, "lost")
         waiter = self.connect(self.old, read_timeout=60)
@@ -142,14 +142,15 @@
                 waiting.result()
 
     def test_common_log_is_kept(self) -> None:
-        # The old primary has nothing that the new one lacks: callers stay.
+        # The old primary has no row that the new one lacks, so callers stay
+        # connected.
         self.promote()
         add(self.new_writer, "new")
         reader = self.follow(self.old)
         self.assertTrue(wait(reader, 2, 3))
         self.assertEqual([r[1] for r in run(self.old_writer, ALL)], ["kept", "new"])
 
-    def test_longer_log_than_the_primary_has_is_dropped(self) -> None:
+    def test_log_longer_than_that_of_the_primary_is_dropped(self) -> None:
         # The old primary is ahead of the new one, which has not written yet.
         self.promote()
         add(self.old_writer, "lost")
@@ -169,9 +170,9 @@
             command(self.new_writer, f"STANDIN FOLLOW '{self.old.address}' TERM 1")
         add(self.new_writer, "still primary")
 
-    def test_fence_ends_writes_of_an_open_transaction(self) -> None:
+    def test_fence_rejects_commit_of_an_open_transaction(self) -> None:
         # A caller of the old primary is in a transaction while control fences
-        # the term. Were its commit still taken, an acknowledged row would be
+        # the term. If its commit were still accepted, an acknowledged row would be
         # missing at the new primary.
         self.old_writer.begin()
         add(self.old_writer, "late")
@@ -185,9 +186,9 @@
         command(fencer, "STANDIN PROMOTE TERM 2")
         add(fencer, "in the new term")
 
-    def test_follower_of_a_fenced_transaction_is_not_held_up(self) -> None:
-        # The caller of an open transaction on the old primary never comes back;
-        # its write lock must not keep replication out.
+    def test_abandoned_transaction_does_not_block_replication(self) -> None:
+        # The caller of an open transaction on the old primary never returns. Its
+        # write lock must not block replication.
         self.old_writer.begin()
         add(self.old_writer, "late")
         self.promote()
@@ -196,10 +197,10 @@
         self.assertTrue(wait(reader, 2, 3))
         self.assertEqual([r[1] for r in run(reader, ALL)], ["kept", "new"])
 
-    def test_source_of_an_older_term_is_not_believed(self) -> None:
+    def test_source_of_an_older_term_is_rejected(self) -> None:
         # A replica is told to follow a server as the primary of term 2 before
-        # that one was promoted. It must not take entries of term 1 for those of
-        # term 2: they may be none of the new term's.
+        # that server is promoted. It must not accept entries of term 1 under
+        # term 2, because they may not belong to the new term.
         reader = self.new_writer
         command(reader, f"STANDIN FOLLOW '{self.old.address}' TERM 2")
         add(self.old_writer, "of term 1")
@@ -207,15 +208,15 @@
         command(self.old_writer, "STANDIN PROMOTE TERM 2")
         self.assertTrue(wait(reader, 2, 3))
 
-    def test_old_primary_returns_believing_itself_primary(self) -> None:
+    def test_old_primary_restarts_with_its_saved_role(self) -> None:
         self.promote()
         add(self.old_writer, "lost")
         self.stop(self.old)
-        again = self.start("a", role="replica", follow=str(self.new.address))
-        row = status(self.connect(again))
+        restarted = self.start("a", role="replica", follow=str(self.new.address))
+        row = status(self.connect(restarted))
         self.assertEqual((row["role"], row["term"], row["offset"]), ("primary", 1, 3))
 
-    def test_promotion_and_fence_outlive_a_restart(self) -> None:
+    def test_promotion_and_fence_survive_a_restart(self) -> None:
         self.promote()
         command(self.old_writer, "STANDIN FENCE TERM 2")
         addresses = str(self.old.address), str(self.new.address)
@@ -227,29 +228,29 @@
             add(old, "under the old term")
         add(new, "under the new term")
 
-    def test_silent_old_primary_does_not_hold_up_a_replica(self) -> None:
-        # A replica waits for an answer of its primary, which went silent, when
-        # it is told to follow another one. Did it wait on, the first write of
-        # the new primary would have no second copy until a timeout.
+    def test_unresponsive_old_primary_does_not_delay_a_replica(self) -> None:
+        # A replica waits for an answer of its unresponsive primary when it is told
+        # to follow another one. If it continued to wait, the first write of the
+        # new primary would have no second copy until a timeout.
         with mock.patch.object(const, "REPLICATION_TIMEOUT", 60):
             reader = self.connect(self.start("c", follow=str(self.old.address)))
             self.assertTrue(wait(reader, 1, 2))
             self.old.faults.apply(FaultsRequest(freeze=True))
-            time.sleep(0.1)  # Longer than a pull waits for something new.
+            time.sleep(0.1)  # Longer than a pull waits for a new entry.
             self.promote()
             add(self.new_writer, "new")
             command(reader, f"STANDIN FOLLOW '{self.new.address}' TERM 2")
             self.assertTrue(wait(reader, 2, 3))
 
-    def test_restarted_replica_follows_on(self) -> None:
+    def test_restarted_replica_resumes_replication(self) -> None:
         self.stop(self.new)
         add(self.old_writer, "meanwhile")
-        again = self.start("b", role="primary")
-        reader = self.connect(again)
+        restarted = self.start("b", role="primary")
+        reader = self.connect(restarted)
         self.assertTrue(wait(reader, 1, 3))
         self.assertEqual(status(reader)["role"], "replica")
 
-    def test_stopped_replication_lets_lag_grow(self) -> None:
+    def test_lag_grows_while_replication_is_stopped(self) -> None:
         self.new.faults.apply(FaultsRequest(stop_replication=True))
         add(self.old_writer, "unseen")
         before = status(self.new_writer)
--- a/tests/standin/test_server.py
+++ b/tests/standin/test_server.py
@@ -1,4 +1,4 @@
-"""Callers' statements through a stock client."""
+"""Statements of callers through an unmodified client library."""
 
 import contextlib
 import socket
@@ -30,7 +30,7 @@
 
 
 class StatementTest(StandinTestCase):
-    """What callers get back from ordinary SQL."""
+    """Results of ordinary SQL statements."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -38,7 +38,7 @@
         self.caller = self.connect(self.server)
         run(self.caller, CREATE)
 
-    def test_counts_and_keys_are_real(self) -> None:
+    def test_affected_rows_and_insert_ids(self) -> None:
         with self.caller.cursor() as cursor:
             sql = "INSERT INTO lines (body) VALUES (%s), (%s)"
             self.assertEqual(cursor.execute(sql, ("it's", 'a\\"\n')), 2)
@@ -75,7 +75,7 @@
             with self.subTest(sql), fails_with(self, number):
                 run(self.caller, sql)
 
-    def test_transaction_is_seen_by_others_after_its_commit(self) -> None:
+    def test_transaction_is_visible_to_others_only_after_commit(self) -> None:
         other = self.connect(self.server)
         self.caller.begin()
         run(self.caller, "INSERT INTO lines (body) VALUES ('x')")
@@ -95,7 +95,7 @@
         caller.rollback()
         self.assertEqual(run(self.caller, "SELECT * FROM lines"), [])
 
-    def test_second_writer_waits_and_gives_up(self) -> None:
+    def test_second_writer_times_out_waiting_for_the_lock(self) -> None:
         server = self.start("c", role="primary", lock_wait_ms=50)
         first, second = self.connect(server), self.connect(server)
         run(first, CREATE)
@@ -107,10 +107,10 @@
         run(second, "INSERT INTO lines (body) VALUES ('y')")
         self.assertEqual(run(second, "SELECT COUNT(*) FROM lines"), [(2,)])
 
-    def test_waiting_writer_keeps_no_slot(self) -> None:
-        # One caller is in a transaction, another waits to write. Did the second
-        # wait in the only slot, the first one's commit would wait for the slot
-        # and the second for the commit, until the second is refused.
+    def test_waiting_writer_holds_no_slot(self) -> None:
+        # One caller is in a transaction while another waits to write. If the second
+        # held the only slot while it waits, the first one's commit would wait for
+        # the slot and the second for the commit, until the second times out.
         server = self.start("c", role="primary", lock_wait_ms=2_000, slots=1)
         first, second = self.connect(server), self.connect(server)
         run(first, CREATE)
@@ -122,13 +122,13 @@
             waiting = pool.submit(run, second, sql)
             self.eventually(
                 lambda: server.diagnostics.collect()["statements"] > statements,
-                "the second writer is there",
+                "the second writer has sent its statement",
             )
             first.commit()
             waiting.result()
         self.assertEqual(run(first, "SELECT COUNT(*) FROM lines"), [(2,)])
 
-    def test_large_result_comes_whole(self) -> None:
+    def test_large_result_is_complete(self) -> None:
         sql = (
             "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n "
             "WHERE i < 20000) SELECT i, 'some text of a line' FROM n"
@@ -136,20 +136,21 @@
         rows = run(self.caller, sql)
         self.assertEqual([row[0] for row in rows], list(range(1, 20_001)))
 
-    def test_wrong_password_gets_no_further(self) -> None:
+    def test_wrong_password_is_refused(self) -> None:
         with fails_with(self, 1045):
             self.connect(self.server, password="wrong")
         with fails_with(self, 1045):
             self.connect(self.server, user="nobody")
 
     def test_statement_after_a_refused_login_gets_no_answer(self) -> None:
-        # A client gives a wrong password, does not mind the refusal and sends a
-        # statement: answered, it would read and write without a password.
+        # A client sends a wrong password, ignores the refusal and sends a statement.
+        # If it were answered, the client could read and write without a password.
         address = self.server.address
         with socket.create_connection((address.host, address.port), 10) as sock:
             stream = cast(BinaryIO, sock.makefile("rwb"))
             read_packet(stream)
-            # PROTOCOL_41 | SECURE_CONNECTION | PLUGIN_AUTH, size, character set.
+            # PROTOCOL_41 | SECURE_CONNECTION | PLUGIN_AUTH, maximum packet size,
+            # character set.
             head = struct.pack("<IIB23x", 0x88200, 1 << 24, 45)
             body = head + USER.encode() + b"\0\x14" + b"x" * 20
             body += b"mysql_native_password\0"
@@ -170,19 +171,19 @@
 
 
 class AnnouncementTest(StandinTestCase):
-    """What entry instances hear."""
+    """Announcements that entry instances receive."""
 
     def test_announces_address_role_and_position(self) -> None:
-        heard: list[Announcement] = []
+        received: list[Announcement] = []
 
-        def hear(request: JsonRequest) -> JsonResponse:
-            heard.append(Announcement.model_validate(request.body))
+        def record_announcement(request: JsonRequest) -> JsonResponse:
+            received.append(Announcement.model_validate(request.body))
             return JsonResponse()
 
         entry = JsonServer(
             Address("127.0.0.1", 0),
             RequestSigner(KEY.encode()),
-            [Route("POST", PATH_ANNOUNCE, hear)],
+            [Route("POST", PATH_ANNOUNCE, record_announcement)],
             threads=1,
         )
         entry.set_up()
@@ -192,7 +193,8 @@
         )
         run(self.connect(server), CREATE)
         self.eventually(
-            lambda: bool(heard) and heard[-1].position.offset == 1, "an announcement"
+            lambda: bool(received) and received[-1].position.offset == 1,
+            "an announcement",
         )
-        self.assertEqual(heard[-1].address, str(server.address))
-        self.assertIs(heard[-1].role, Role.PRIMARY)
+        self.assertEqual(received[-1].address, str(server.address))
+        self.assertIs(received[-1].role, Role.PRIMARY)
