--- a/packages/testbed/src/dogwoodspool_testbed/__init__.py
+++ b/packages/testbed/src/dogwoodspool_testbed/__init__.py
@@ -1,4 +1,4 @@
-"""Run whole deployments as processes on loopback, for tests, demo and measurements."""
+"""Run complete deployments on loopback for tests, the demo and measurements."""
 
 from .deployment import CallerConnection, Deployment
 from .errors import TestbedError
--- a/packages/testbed/src/dogwoodspool_testbed/const.py
+++ b/packages/testbed/src/dogwoodspool_testbed/const.py
@@ -1,4 +1,4 @@
-"""Constants of deployments for tests, demo and measurements."""
+"""Constants of deployments for tests, the demo and measurements."""
 
 from typing import Final
 
@@ -16,8 +16,8 @@
 ROLE_STANDIN: Final = "standin"
 
 POLL_SECONDS: Final = 0.02
-START_SECONDS: Final = 20.0
-STOP_SECONDS: Final = 5.0
-# Longer than the control processes of a test take to notice a frozen leader and to
-# elect another, also on a busy machine.
-ELECTION_SECONDS: Final = 10.0
+READY_TIMEOUT_SECONDS: Final = 20.0
+STOP_TIMEOUT_SECONDS: Final = 5.0
+# Longer than the control processes of a test need to detect a frozen leader and elect
+# another one, even on a busy machine.
+ELECTION_TIMEOUT_SECONDS: Final = 10.0
--- a/packages/testbed/src/dogwoodspool_testbed/deployment.py
+++ b/packages/testbed/src/dogwoodspool_testbed/deployment.py
@@ -1,4 +1,4 @@
-"""A whole system as separate processes on loopback."""
+"""A complete deployment as separate processes on loopback."""
 
 import socket
 import tempfile
@@ -20,25 +20,25 @@
     CALLER_USER,
     HOST,
     POLL_SECONDS,
+    READY_TIMEOUT_SECONDS,
     ROLE_CONTROL,
     ROLE_PROXY,
     ROLE_STANDIN,
     SHARED_KEY,
-    START_SECONDS,
     TOKEN_KEY,
 )
+from .deployment_client import DeploymentClient
 from .errors import TestbedError
 from .models import ControlHandle, DeploymentShape, ProxyHandle, StandinHandle
 from .processes import ProcessTable
-from .running_system import RunningSystem
 
 ANY_PORT: Final = Address(HOST, 0)
 
 CallerConnection: TypeAlias = "pymysql.connections.Connection[pymysql.cursors.Cursor]"
 
 
-class Deployment(RunningSystem):
-    """Start the processes of a shape, reach them, and end them.
+class Deployment(DeploymentClient):
+    """Start the processes of a deployment shape, access them and stop them.
 
     Example:
         >>> with Deployment(DeploymentShape()) as deployment:
@@ -63,28 +63,35 @@
         self.unload()
 
     def set_up(self) -> None:
-        """Start everything and wait until every group can be written to."""
+        """Start all processes and wait until every proxy may write to every group."""
         self._start_controls()
         self.wait_for("a control leader", lambda: self.leader() is not None)
-        self._set_root()
+        self._write_root_settings()
         self._start_proxies()
         self._start_standins()
         self.wait_for("grants at every proxy", self._all_may_write)
 
     def unload(self) -> None:
-        """End every process and remove the folder."""
+        """Stop all processes and remove the folder."""
         self.processes.stop_all()
         self.client.close()
         self._temporary.cleanup()
 
     def wait_for(
-        self, what: str, condition: Callable[[], bool], seconds: float = START_SECONDS
+        self,
+        what: str,
+        condition: Callable[[], bool],
+        seconds: float = READY_TIMEOUT_SECONDS,
     ) -> float:
-        """Wait until a condition holds; return how long that took."""
-        began_at = time.monotonic()
-        while time.monotonic() - began_at < seconds:
+        """Wait until a condition holds and return the elapsed seconds.
+
+        Raises:
+            TestbedError: it did not hold in time; includes the end of each log.
+        """
+        started = time.monotonic()
+        while time.monotonic() - started < seconds:
             if condition():
-                return time.monotonic() - began_at
+                return time.monotonic() - started
             time.sleep(POLL_SECONDS)
         logs = "\n".join(
             f"--- {name}\n{self.processes.log_tail(name)}"
@@ -107,7 +114,7 @@
         )
 
     def connect_directly(self, standin: StandinHandle) -> CallerConnection:
-        """Connect to a backend server, past the proxies."""
+        """Connect to a backend server, bypassing the proxies."""
         return pymysql.connect(
             host=standin.address.host,
             port=standin.address.port,
@@ -118,7 +125,7 @@
         )
 
     def root_settings(self) -> dict[str, Any]:
-        """Return the root overrides with which the deployment began."""
+        """Return the overrides that the deployment sets at the root of the tree."""
         return {
             "token_key": TOKEN_KEY,
             "users": {CALLER_USER: hash_password(CALLER_PASSWORD)},
@@ -129,18 +136,18 @@
         }
 
     def start_proxy(self, name: str, failure_domain: str) -> ProxyHandle:
-        """Start one more proxy and wait until it listens."""
+        """Start an additional proxy and wait until it listens."""
         self._spawn_proxy(name, failure_domain, self.controls)
         handle = self._proxy_handle(name, failure_domain)
         self.proxies.append(handle)
         return handle
 
     def restart_proxy(self, proxy: ProxyHandle, first: ControlHandle) -> None:
-        """Kill a proxy and start it again at the same addresses.
+        """Kill a proxy and restart it at the same addresses.
 
         Args:
-            proxy: the proxy to start again.
-            first: the control process that stands first in its list.
+            proxy: the proxy to restart.
+            first: the control process that comes first in its ``--control`` list.
         """
         self.processes.kill(proxy.name)
         others = [control for control in self.controls if control != first]
@@ -154,12 +161,12 @@
         self.processes.ready(proxy.name)
 
     def start_replica(self, group: str) -> StandinHandle:
-        """Start one more replica of a group and wait until it listens."""
+        """Start an additional replica of a group and wait until it listens."""
         number = sum(standin.group == group for standin in self.standins)
         return self._start_standin(group, number, self.primary(group))
 
     def start_control(self, name: str, failure_domain: str) -> ControlHandle:
-        """Start one more control process, which waits to be made a voter."""
+        """Start an additional control process, which waits to become a voter."""
         address = Address(HOST, _free_ports(1)[0])
         control = ControlHandle(name, failure_domain, address)
         self._spawn_control(control, [])
@@ -190,7 +197,7 @@
         ]
         self.processes.start(control.name, ROLE_CONTROL, arguments, True)
 
-    def _set_root(self) -> None:
+    def _write_root_settings(self) -> None:
         self.change_settings("/", self.root_settings(), "testbed-root")
 
     def _start_proxies(self) -> None:
--- a/packages/testbed/src/dogwoodspool_testbed/running_system.py
+++ b/packages/testbed/src/dogwoodspool_testbed/deployment_client.py
@@ -24,20 +24,21 @@
 
 from .const import (
     AUTHOR,
-    ELECTION_SECONDS,
+    ELECTION_TIMEOUT_SECONDS,
     POLL_SECONDS,
+    READY_TIMEOUT_SECONDS,
     SHARED_KEY,
-    START_SECONDS,
 )
 from .errors import TestbedError
 from .models import ControlHandle, DeploymentShape, ProxyHandle, StandinHandle
 
 
-class RunningSystem:
-    """Ask control, proxies and stand-ins, and change what they do.
+class DeploymentClient:
+    """Query control, proxies and stand-ins and change their state.
 
     Attributes:
-        client: signs with the deployment's shared key.
+        client: HTTP client that signs with the deployment's shared key.
+        shape: shape of the deployment.
         controls: the control processes.
         proxies: the proxies.
         standins: the stand-in backend servers.
@@ -51,7 +52,7 @@
         self.standins: list[StandinHandle] = []
 
     def leader(self) -> ControlHandle | None:
-        """Return the control leader, if there is one now."""
+        """Return the current control leader, None if there is none."""
         for control in self.controls:
             try:
                 answer = self.client.get(control.address, PATH_STATUS, timeout=1.0)
@@ -65,37 +66,47 @@
     def view(self) -> ControlView:
         """Return the committed state, confirmed by a quorum.
 
-        A control process gives up on a confirmation sooner than an election lasts,
-        so all are asked again for ``ELECTION_SECONDS``.
+        The time-out of a control process for a confirmation is shorter than an
+        election, so all control processes are queried repeatedly for
+        ``ELECTION_TIMEOUT_SECONDS``.
 
         Raises:
-            TestbedError: none confirmed it in this time.
+            TestbedError: no control process confirmed it in this time.
         """
-        deadline = time.monotonic() + ELECTION_SECONDS
+        deadline = time.monotonic() + ELECTION_TIMEOUT_SECONDS
         while True:
             for control in self.controls:
                 view = self._confirmed_view(control)
                 if view is not None:
                     return view
             if time.monotonic() >= deadline:
-                raise TestbedError("no control process confirms its state")
+                raise TestbedError("no control process confirmed its state in time")
             time.sleep(POLL_SECONDS)
 
     def primary(self, group: str) -> StandinHandle:
-        """Return a group's primary as control has committed it."""
+        """Return a group's primary in the committed state of control.
+
+        Raises:
+            TestbedError: the group has none, or it is not one of the stand-ins.
+        """
         for state in self.view().groups:
             if state.name == group:
                 for standin in self.standins:
                     if standin.name == state.primary:
                         return standin
-        raise TestbedError(f"{group} has no primary")
+        raise TestbedError(f"{group} has no primary among the stand-ins")
 
     def term(self, group: str) -> int:
-        """Return a group's term as control has committed it."""
+        """Return a group's term in the committed state of control."""
         return next(g.term for g in self.view().groups if g.name == group)
 
     def promote(self, group: str, candidate: str | None = None) -> None:
-        """Ask for a planned change of primary."""
+        """Request a switchover of a group's primary.
+
+        Raises:
+            HttpError: the control leader rejected it or did not answer.
+            TestbedError: no control leader accepted it in time.
+        """
         body = {
             "change_id": uuid.uuid4().hex,
             "group": group,
@@ -106,7 +117,7 @@
     def change_settings(
         self, path: str, overrides: dict[str, Any], change_id: str | None = None
     ) -> dict[str, Any]:
-        """Replace one node's overrides; return the control's answer."""
+        """Replace the overrides of one node and return the answer of control."""
         body = {
             "change_id": change_id or uuid.uuid4().hex,
             "path": path,
@@ -117,7 +128,7 @@
         return self._post_to_leader(PATH_SETTINGS_CHANGE, body)
 
     def settings_version(self, path: str) -> int:
-        """Return a node's version; 0 for one that does not exist."""
+        """Return the version of a node, 0 if it does not exist."""
         answer = self._get_from_any(PATH_SETTINGS_TREE)
         for node in answer["nodes"]:
             if node["path"] == path:
@@ -125,7 +136,7 @@
         return 0
 
     def proxy_status(self, proxy: ProxyHandle) -> dict[str, Any]:
-        """Return a proxy's own status."""
+        """Return the status that a proxy reports."""
         return self.client.get(proxy.http_address, PATH_STATUS)
 
     def metrics(self, proxy: ProxyHandle) -> str:
@@ -138,7 +149,7 @@
         self.client.post(standin.control_address, "/v1/faults", switches)
 
     def may_write(self, proxy: ProxyHandle) -> bool:
-        """Tell whether a proxy holds a grant for every group."""
+        """Return whether a proxy holds a grant for every group."""
         try:
             groups = self.proxy_status(proxy)["groups"]
         except HttpError:
@@ -148,7 +159,7 @@
 
     def _post_to_leader(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         last_error: Exception | None = None
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             leader = self.leader()
             if leader is not None:
@@ -178,6 +189,6 @@
                 {"after": "0", "wait_ms": "0", "confirmed": "1"},
             )
         except HttpError:
-            # It is down, frozen or without a leader: another may confirm.
+            # It is down, frozen or without a leader; another one may confirm.
             return None
         return WatchResponse.model_validate(answer).view
--- a/packages/testbed/src/dogwoodspool_testbed/errors.py
+++ b/packages/testbed/src/dogwoodspool_testbed/errors.py
@@ -1,9 +1,9 @@
-"""Errors of deployments for tests, demo and measurements."""
+"""Errors of deployments for tests, the demo and measurements."""
 
 from dogwoodspool_common import DogwoodspoolError
 
 
 class TestbedError(DogwoodspoolError):
-    """Report a deployment that does not get where it should."""
+    """Report a deployment that did not reach an expected state in time."""
 
     __test__ = False
--- a/packages/testbed/src/dogwoodspool_testbed/models.py
+++ b/packages/testbed/src/dogwoodspool_testbed/models.py
@@ -1,4 +1,4 @@
-"""Data classes of deployments for tests, demo and measurements."""
+"""Data classes of deployments for tests, the demo and measurements."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StandinShape:
-    """Sizes of one stand-in backend server; see ``dogwoodspool-standin --help``."""
+    """Limits and delays of one stand-in; see ``dogwoodspool-standin --help``."""
 
     slots: int = 3
     connections: int = 20
@@ -20,17 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentShape:
-    """What a deployment consists of.
+    """Processes and settings of a deployment.
 
     Attributes:
-        failure_domains: names; proxies are spread over them in turn.
-        controls: control processes, spread over the failure domains in turn.
-        proxies: proxy processes.
+        failure_domains: names of the failure domains; proxies are assigned to them
+            in turn.
+        controls: number of control processes, assigned to the failure domains in
+            turn.
+        proxies: number of proxy processes.
         groups: names of the database groups.
-        servers_per_group: backend servers of each group; the first is primary.
-        standin: sizes of each backend server.
-        root_settings: overrides of the settings tree's root.
-        has_traces: proxies write a span for each hop to ``NAME.spans``.
+        servers_per_group: number of backend servers of each group; the first one
+            is the primary.
+        standin: limits and delays of each backend server.
+        root_settings: overrides at the root of the settings tree.
+        has_traces: whether proxies write a span for each hop to ``NAME.spans``.
     """
 
     failure_domains: tuple[str, ...] = ("fd-a", "fd-b", "fd-c")
--- a/packages/testbed/src/dogwoodspool_testbed/processes.py
+++ b/packages/testbed/src/dogwoodspool_testbed/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment: started, signalled, stopped, by name."""
+"""Start, signal and stop the processes of a deployment by name."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from .const import POLL_SECONDS, START_SECONDS, STOP_SECONDS
+from .const import POLL_SECONDS, READY_TIMEOUT_SECONDS, STOP_TIMEOUT_SECONDS
 from .errors import TestbedError
 
 
@@ -23,7 +23,7 @@
 
 
 class ProcessTable:
-    """Start this project's programs and end only those."""
+    """Start this project's programs and stop only the started processes."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -32,7 +32,7 @@
     def start(
         self, name: str, role: str, arguments: list[str], has_ready_file: bool
     ) -> None:
-        """Start a program; see ``ready`` for when it answers."""
+        """Start a program; ``ready`` waits until it serves requests."""
         ready_file = self._folder / f"{name}.ready" if has_ready_file else None
         if ready_file is not None:
             ready_file.unlink(missing_ok=True)
@@ -42,7 +42,7 @@
         )
 
     def restart(self, name: str) -> None:
-        """Start a program that has ended again, with the same arguments."""
+        """Start a program again with the same arguments, killing it if it runs."""
         process = self._processes[name]
         self.kill(name)
         if process.ready_file is not None:
@@ -50,10 +50,14 @@
         process.popen = self._spawn(name, process.arguments)
 
     def ready(self, name: str) -> Mapping[str, str]:
-        """Wait for a program's ready file and return the addresses in it."""
+        """Wait for a program's ready file and return the addresses in it.
+
+        Raises:
+            TestbedError: the process ended, or did not write the file in time.
+        """
         process = self._processes[name]
         assert process.ready_file is not None
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             text = process.ready_file.read_text() if process.ready_file.exists() else ""
             if text.endswith("}"):
@@ -78,22 +82,22 @@
         return self._processes[name].popen.pid
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a process has not ended."""
+        """Return whether a process is still running."""
         return self._processes[name].popen.poll() is None
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a machine's failure does."""
+        """Kill a process immediately, as a failure of its machine would."""
         popen = self._processes[name].popen
         if popen.poll() is None:
             popen.send_signal(signal.SIGKILL)
         popen.wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it; its sockets stay open."""
+        """Suspend a process with ``SIGSTOP``; its sockets stay open."""
         os.kill(self.pid(name), signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         os.kill(self.pid(name), signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
@@ -101,24 +105,24 @@
         self._processes[name].popen.terminate()
 
     def wait(self, name: str, seconds: float) -> int:
-        """Wait for a process's end and return its exit status."""
+        """Wait until a process ends and return its exit status."""
         return self._processes[name].popen.wait(seconds)
 
     def log(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log of a process."""
         return (self._folder / f"{name}.log").read_text(errors="replace")
 
     def log_tail(self, name: str, lines: int = 15) -> str:
-        """Return the last lines that a process has logged."""
+        """Return the last lines of a process's log."""
         return "\n".join(self.log(name).splitlines()[-lines:])
 
     def stop_all(self) -> None:
-        """End every process."""
+        """Stop every process, frozen ones too; kill those that do not end in time."""
         for process in self._processes.values():
             if process.popen.poll() is None:
                 process.popen.send_signal(signal.SIGCONT)
                 process.popen.terminate()
-        deadline = time.monotonic() + STOP_SECONDS
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for name, process in self._processes.items():
             try:
                 process.popen.wait(max(0.0, deadline - time.monotonic()))
