--- a/packages/load/src/dogwoodspool_load/attempts.py
+++ b/packages/load/src/dogwoodspool_load/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a request: how callers behave and how an attempt ended."""
+"""Options of callers, and the results of their attempts at a request."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -16,12 +16,14 @@
     """How callers behave.
 
     Attributes:
-        interval: seconds between due requests (open loop); 0 sends the next one
-            at once (closed loop).
-        max_attempts: attempts of one request.
-        deadline_ms: stated to the proxy; None leaves it to the settings.
-        roam_probability: chance that a request goes to another proxy than the
-            last one.
+        interval: mean seconds between the times at which requests are due (open
+            loop); 0 sends each request as soon as the previous one ended (closed
+            loop).
+        max_attempts: maximum number of attempts of one request.
+        deadline_ms: sent to the proxy with each request; None uses the deadline
+            of the settings.
+        roam_probability: probability that a request first picks a proxy at random
+            instead of using that of the previous request.
     """
 
     interval: float
@@ -31,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempted:
-    """How one attempt ended."""
+class AttemptResult:
+    """Result of one attempt."""
 
     outcome: Outcome
     message: str = ""
@@ -40,15 +42,15 @@
     rows: tuple[RowSeen, ...] = ()
 
 
-def classify(error: pymysql.MySQLError) -> Attempted:
-    """Tell an attempt's outcome from the error that ended it.
+def classify(error: pymysql.MySQLError) -> AttemptResult:
+    """Derive an attempt's outcome from the error that ended it.
 
-    A connection that broke or stayed silent after the statement was sent brought
-    no outcome, so nobody knows whether it ran.
+    If the connection broke or timed out after the statement was sent, no outcome
+    was received, so that it is unknown whether the statement ran.
     """
     number = int(error.args[0]) if error.args else 0
     message = str(error.args[-1]) if error.args else repr(error)
     for outcome in (Outcome.NOT_RUN, Outcome.UNKNOWN, Outcome.FAILED):
         if message.startswith(f"{outcome}:"):
-            return Attempted(outcome, message, number)
-    return Attempted(Outcome.UNKNOWN, f"{NO_ANSWER}{message}", number)
+            return AttemptResult(outcome, message, number)
+    return AttemptResult(Outcome.UNKNOWN, f"{NO_ANSWER}{message}", number)
--- a/packages/load/src/dogwoodspool_load/caller.py
+++ b/packages/load/src/dogwoodspool_load/caller.py
@@ -1,4 +1,4 @@
-"""One caller: its session, its connections to proxies, its requests."""
+"""A caller with its session, connections to proxies and requests."""
 
 import random
 import threading
@@ -11,7 +11,7 @@
 from dogwoodspool_sessions import NEW_SESSION, TokenCodec
 from dogwoodspool_testbed import CallerConnection, Deployment, ProxyHandle
 
-from .attempts import NO_ANSWER, Attempted, CallerOptions, classify
+from .attempts import NO_ANSWER, AttemptResult, CallerOptions, classify
 from .const import (
     ANSWER_TIMEOUT_SECONDS,
     CONNECT_TIMEOUT_SECONDS,
@@ -28,11 +28,12 @@
 
 
 class Caller:
-    """Send requests one after the other and record what comes back.
+    """Send requests one after the other and record their results.
 
     Args:
-        proxies: where it may connect; it roams between them with its token.
-        codec: reads the position out of a token, for the history only.
+        proxies: proxies that the caller may use; it takes its session token along
+            when it changes between them.
+        codec: decodes the position of a session token, for the history only.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self._connections: dict[str, CallerConnection] = {}
         self._proxy = self._random.choice(proxies)
         self._token = NEW_SESSION
-        self._told_proxy = ""
+        self._token_proxy = ""
         self._sessions = 1
 
     @property
@@ -69,48 +70,49 @@
         return f"{self._name}/{self._sessions}"
 
     def connect(self) -> None:
-        """Open the first connection, so that the run does not begin with that."""
+        """Open the first connection, so that its time is not part of the run."""
         self._connection(self._proxy)
 
     def run(self, begins_at: float, stop: threading.Event) -> None:
-        """Send requests until told to stop."""
+        """Send requests until ``stop`` is set."""
         interval = self._options.interval
         due_at = begins_at + self._random.random() * interval
         while not stop.wait(max(0.0, due_at - time.monotonic())):
             if not interval:
                 due_at = time.monotonic()
-            self._perform(self._planner.next(), due_at)
-            # Spread like independent callers' requests, at the wanted mean.
+            self._send_request(self._planner.next(), due_at)
+            # Exponential intervals around the mean, as of independent callers (Poisson
+            # arrivals).
             due_at += self._random.expovariate(1 / interval) if interval else 0.0
         self._close_all()
 
-    def _perform(self, request: PlannedRequest, due_at: float) -> None:
+    def _send_request(self, request: PlannedRequest, due_at: float) -> None:
         if self._random.random() < self._options.roam_probability:
             self._proxy = self._random.choice(self._proxies)
-        attempted = Attempted(Outcome.NOT_SENT)
+        result = AttemptResult(Outcome.NOT_SENT)
         for attempt in range(1, self._options.max_attempts + 1):
-            attempted = self._attempt(request, attempt)
-            if not self._should_repeat(request, attempted):
+            result = self._attempt(request, attempt)
+            if not self._should_retry(request, result):
                 break
             self._proxy = self._random.choice(self._proxies)
             time.sleep(RETRY_PAUSE_SECONDS)
         now = time.monotonic()
         sample = Sample(
-            now, now - due_at, request.kind.kind, self._group, attempted.outcome
+            now, now - due_at, request.profile.kind, self._group, result.outcome
         )
         self._statistics.record(sample)
 
-    def _should_repeat(self, request: PlannedRequest, attempted: Attempted) -> bool:
-        match attempted.outcome:
+    def _should_retry(self, request: PlannedRequest, result: AttemptResult) -> bool:
+        match result.outcome:
             case Outcome.NOT_RUN | Outcome.NOT_SENT:
                 return True
             case Outcome.UNKNOWN:
-                # A transaction carries no request id: sent again it could run twice.
-                return request.kind.rows_written <= 1
+                # A transaction carries no request id: a retry could run it twice.
+                return request.profile.rows_written <= 1
         return False
 
-    def _attempt(self, request: PlannedRequest, attempt: int) -> Attempted:
-        kind, proxy = request.kind, self._proxy
+    def _attempt(self, request: PlannedRequest, attempt: int) -> AttemptResult:
+        profile, proxy = request.profile, self._proxy
         connection = self._connection(proxy)
         self._recorder.record(
             Invocation(
@@ -119,105 +121,107 @@
                 session=self._session,
                 request=request.name,
                 attempt=attempt,
-                kind=kind.kind,
+                kind=profile.kind,
                 group=self._group,
                 proxy=proxy.name,
-                table=kind.table,
+                table=profile.table,
                 room=request.room,
-                rows_written=kind.rows_written,
-                max_age_ms=kind.max_age_ms,
+                rows_written=profile.rows_written,
+                max_age_ms=profile.max_age_ms,
             )
         )
         if connection is None:
-            attempted = Attempted(Outcome.NOT_SENT, "no connection")
+            result = AttemptResult(Outcome.NOT_SENT, "no connection")
         else:
-            attempted = self._send(connection, request)
+            result = self._send(connection, request)
         answered_at = time.monotonic()
         position = None
-        if attempted.outcome is Outcome.OK and kind.rows_written:
-            position = self._take_token(proxy)
+        if result.outcome is Outcome.OK and profile.rows_written:
+            position = self._fetch_token(proxy)
         self._recorder.record(
             Answer(
                 at=answered_at,
                 request=request.name,
                 attempt=attempt,
-                outcome=attempted.outcome,
-                message=attempted.message,
-                rows=attempted.rows,
+                outcome=result.outcome,
+                message=result.message,
+                rows=result.rows,
                 position=position,
             )
         )
-        self._react(attempted, proxy)
-        return attempted
+        self._handle_result(result, proxy)
+        return result
 
-    def _react(self, attempted: Attempted, proxy: ProxyHandle) -> None:
-        if attempted.outcome is not Outcome.OK:
-            # The proxy may have refused before it took the session's token.
-            self._told_proxy = ""
-        if attempted.message.startswith(NO_ANSWER):
+    def _handle_result(self, result: AttemptResult, proxy: ProxyHandle) -> None:
+        if result.outcome is not Outcome.OK:
+            # The proxy may have rejected the request before it read the session token.
+            self._token_proxy = ""
+        if result.message.startswith(NO_ANSWER):
             self._close(proxy)
-        if attempted.error_number == ER_SESSION_REFUSED:
-            self._begin_session()
+        if result.error_number == ER_SESSION_REFUSED:
+            self._start_session()
 
-    def _send(self, connection: CallerConnection, request: PlannedRequest) -> Attempted:
-        if request.kind.rows_written > 1:
+    def _send(
+        self, connection: CallerConnection, request: PlannedRequest
+    ) -> AttemptResult:
+        if request.profile.rows_written > 1:
             return self._send_transaction(connection, request)
-        kind = request.kind
-        if kind.rows_written:
-            sql = write_statement(kind.table, request.room, request.name)
-            request_id = None if kind.is_idempotent else request.name
-            stated = {
+        profile = request.profile
+        if profile.rows_written:
+            sql = write_statement(profile.table, request.room, request.name)
+            request_id = None if profile.is_idempotent else request.name
+            properties = {
                 "request_id": request_id,
-                "idempotent": "true" if kind.is_idempotent else "false",
+                "idempotent": "true" if profile.is_idempotent else "false",
             }
         else:
-            sql = read_statement(kind.table, request.room, request.name)
-            stated = {}
-            if kind.max_age_ms is not None:
-                stated["max_age_ms"] = str(kind.max_age_ms)
+            sql = read_statement(profile.table, request.room, request.name)
+            properties = {}
+            if profile.max_age_ms is not None:
+                properties["max_age_ms"] = str(profile.max_age_ms)
         try:
-            rows = self._execute(connection, sql, **stated)
+            rows = self._execute(connection, sql, **properties)
         except pymysql.MySQLError as error:
             return classify(error)
-        return Attempted(Outcome.OK, rows=rows)
+        return AttemptResult(Outcome.OK, rows=rows)
 
     def _send_transaction(
         self, connection: CallerConnection, request: PlannedRequest
-    ) -> Attempted:
-        kind = request.kind
+    ) -> AttemptResult:
+        profile = request.profile
         try:
             self._execute(connection, "BEGIN")
-            for part in range(1, kind.rows_written + 1):
+            for part in range(1, profile.rows_written + 1):
                 self._execute(
                     connection,
-                    write_statement(kind.table, request.room, request.name, part),
+                    write_statement(profile.table, request.room, request.name, part),
                 )
             if request.ends_in_rollback:
                 self._execute(connection, "ROLLBACK")
-                return Attempted(Outcome.ABORTED, "rolled back on purpose")
+                return AttemptResult(Outcome.ABORTED, "rolled back on purpose")
         except pymysql.MySQLError as error:
             before = classify(error)
-            # Without a commit nothing of it may stay, whatever was answered.
+            # Without a commit no row may be stored, regardless of the answers.
             self._close(self._proxy)
-            return Attempted(Outcome.ABORTED, before.message, before.error_number)
+            return AttemptResult(Outcome.ABORTED, before.message, before.error_number)
         try:
             self._execute(connection, "COMMIT")
         except pymysql.MySQLError as error:
             return classify(error)
-        return Attempted(Outcome.OK)
+        return AttemptResult(Outcome.OK)
 
     def _execute(
-        self, connection: CallerConnection, sql: str, **stated: str | None
+        self, connection: CallerConnection, sql: str, **properties: str | None
     ) -> tuple[RowSeen, ...]:
-        if self._told_proxy != self._proxy.name:
-            stated["session"] = self._token
-            self._told_proxy = self._proxy.name
-        text = with_properties(sql, **stated, deadline_ms=self._options.deadline_ms)
+        if self._token_proxy != self._proxy.name:
+            properties["session"] = self._token
+            self._token_proxy = self._proxy.name
+        text = with_properties(sql, **properties, deadline_ms=self._options.deadline_ms)
         with connection.cursor() as cursor:
             cursor.execute(text)
             return tuple(row_seen(row) for row in cursor.fetchall())
 
-    def _take_token(self, proxy: ProxyHandle) -> Position | None:
+    def _fetch_token(self, proxy: ProxyHandle) -> Position | None:
         connection = self._connections.get(proxy.name)
         try:
             if connection is None:
@@ -228,13 +232,14 @@
             assert row is not None
             self._token = str(row[0])
         except pymysql.MySQLError:
-            # The write is done, but no token covers it: its session ends here.
+            # The write succeeded, but no session token includes its position, so that
+            # the session cannot be continued.
             self._close(proxy)
-            self._begin_session()
+            self._start_session()
             return None
         return self._codec.decode(self._token).get(self._group)
 
-    def _begin_session(self) -> None:
+    def _start_session(self) -> None:
         self._close_all()
         self._sessions += 1
         self._token = NEW_SESSION
@@ -257,12 +262,12 @@
 
     def _close(self, proxy: ProxyHandle) -> None:
         connection = self._connections.pop(proxy.name, None)
-        self._told_proxy = ""
+        self._token_proxy = ""
         if connection is not None:
             _close_quietly(connection)
 
     def _close_all(self) -> None:
-        self._told_proxy = ""
+        self._token_proxy = ""
         for connection in self._connections.values():
             _close_quietly(connection)
         self._connections.clear()
--- a/packages/load/src/dogwoodspool_load/capacity_page.py
+++ b/packages/load/src/dogwoodspool_load/capacity_page.py
@@ -1,4 +1,4 @@
-"""Render docs/CAPACITY.md: each role's costs at the size to design for."""
+"""Render docs/CAPACITY.md: cost of each role at the scale to design for."""
 
 import json
 import math
@@ -15,11 +15,11 @@
     BUDGET_CPU_PERCENT,
     BUDGET_FAILOVER_MS,
     BUDGET_TRAFFIC,
-    CHANGES_A_DAY,
+    CHANGES_PER_DAY,
     CONNECTIONS,
     DAEMONS,
     DATABASES,
-    FAILOVERS_A_DAY,
+    FAILOVERS_PER_DAY,
     FAILURE_DOMAINS,
     INSTANCES,
     KILOBYTE,
@@ -28,18 +28,19 @@
     MILLISECONDS,
     PERCENT,
     RENEWALS_PER_SECOND,
-    RESTARTS_A_DAY,
-    SECONDS_A_DAY,
+    RESTARTS_PER_DAY,
+    SECONDS_PER_DAY,
     SERVERS_PER_GROUP,
-    STATEMENTS,
+    STATEMENTS_PER_SECOND,
     Capacity,
 )
 from .slopes import Line
 
 PAGE_WIDTH: Final = 88
 
-# A heartbeat and its answer with their headers, and one neighbour in an answer.
-PRESENCE_BYTES: Final = 700
+# Size of a heartbeat together with its answer, headers included, and of one
+# neighbour in an answer.
+HEARTBEAT_BYTES: Final = 700
 NEIGHBOUR_BYTES: Final = 60
 
 
@@ -59,20 +60,20 @@
         _unmeasured(),
         _points(capacity),
     )
-    return "\n\n".join(_wrapped(part.strip()) for part in parts) + "\n"
+    return "\n\n".join(_wrap_blocks(part.strip()) for part in parts) + "\n"
 
 
 def render_file(path: Path) -> str:
-    """Return the page for a file of slopes."""
+    """Return the page for a file of measured slopes."""
     return render(json.loads(path.read_text()))
 
 
-def _wrapped(text: str) -> str:
-    """Fill paragraphs and points to the page's width; tables stay as they are."""
-    return "\n\n".join(_filled(block) for block in text.split("\n\n"))
+def _wrap_blocks(text: str) -> str:
+    """Wrap paragraphs and list items at the page's width; leave tables unchanged."""
+    return "\n\n".join(_wrap_block(block) for block in text.split("\n\n"))
 
 
-def _filled(block: str) -> str:
+def _wrap_block(block: str) -> str:
     if block.startswith(("|", "#")):
         return block
     points = [" ".join(point.split()) for point in f"\n{block}".split("\n- ")]
@@ -105,8 +106,9 @@
 
 The size: {DAEMONS:,} daemons before {DATABASES:,} databases in {FAILURE_DOMAINS}
 failure
-domains, {CONNECTIONS:,} client connections, {STATEMENTS:,} statements a second,
-{FAILOVERS_A_DAY} changes of primary a day within 9 s, {CHANGES_A_DAY:,} changes of
+domains, {CONNECTIONS:,} client connections,
+{STATEMENTS_PER_SECOND:,} statements a second,
+{FAILOVERS_PER_DAY} changes of primary a day within 9 s, {CHANGES_PER_DAY:,} changes of
 configuration a day in force within 13 s. The budget for control: {BUDGET_CPU_PERCENT}%
 of
 a core, 256 MB and 17 KB/s per daemon, {INSTANCES} instances. A database is taken as one
@@ -127,7 +129,13 @@
         _row("memory, MB", rss, BUDGET_BYTES, MEGABYTE, 0),
         _row("renewals and watch, KB/s", capacity.renew_traffic, None, KILOBYTE, 1),
         _row("probes, KB/s", capacity.probe_traffic, None, KILOBYTE, 1),
-        _row("announcements received, KB/s", capacity.announced, None, KILOBYTE, 1),
+        _row(
+            "announcements received, KB/s",
+            capacity.announcement_traffic,
+            None,
+            KILOBYTE,
+            1,
+        ),
         _row("control traffic in all, KB/s", traffic, BUDGET_TRAFFIC, KILOBYTE, 1),
     ]
     table = "\n".join(rows)
@@ -174,7 +182,7 @@
     cores = cpu.at(DAEMONS) / PERCENT
     full = int(cpu.size_at(PERCENT))
     groups = capacity.leader_cpu_by_servers
-    shared = capacity.by_groups[0]["proxies"]
+    shared = capacity.points_by_groups[0]["proxies"]
     batches = FAILURE_DOMAINS * RENEWALS_PER_SECOND
     both = groups.slope / shared * DAEMONS * DATABASES / PERCENT
     return f"""
@@ -184,7 +192,8 @@
 Messages: {RENEWALS_PER_SECOND:.1f} renewals a second and one long poll per proxy.
 
 - Processor time: {cpu.base:.1f}% of a core and {cpu.slope:.2f}% per proxy at
-  {capacity.by_proxies[0]["servers"]} servers, measured up to {cpu.largest:.0f} proxies.
+  {capacity.points_by_proxies[0]["servers"]} servers, measured up to
+  {cpu.largest:.0f} proxies.
   One core is full at about {full:,} proxies; {DAEMONS:,} would take {cores:,.0f} cores
   of one Python process, which has one. **Not met.**
 - With {shared} proxies each server adds {groups.slope:.2f}% of a core (measured up to
@@ -196,7 +205,7 @@
   {capacity.leader_rss.slope / KILOBYTE:.0f}
   KB per proxy, {capacity.leader_rss_by_servers.slope / KILOBYTE:.0f} KB per server.
 - Traffic: {capacity.leader_traffic.slope / KILOBYTE:.1f} KB/s per proxy at
-  {capacity.by_proxies[0]["servers"]} servers.
+  {capacity.points_by_proxies[0]["servers"]} servers.
 - Limits set in the code: {MAX_PROXIES:,} proxies, {MAX_SERVERS:,} servers,
   {MAX_RENEW_ITEMS} servers in a renewal, {MAX_WATCHERS} waiting long polls (further
   proxies are told when to poll again, 0.1 s to 2 s later).
@@ -213,13 +222,13 @@
 
 
 def _voter(capacity: Capacity) -> str:
-    per_day = capacity.log_bytes * CHANGES_A_DAY
+    per_day = capacity.log_bytes * CHANGES_PER_DAY
     return f"""
 ## Control voter
 
 State: the replicated log and snapshots on disk, the same state as the leader's in
 memory. Messages: heartbeats and entries from the leader. Each change of settings grew
-the log by at most {capacity.log_bytes:,.0f} bytes; {CHANGES_A_DAY:,} a day are
+the log by at most {capacity.log_bytes:,.0f} bytes; {CHANGES_PER_DAY:,} a day are
 {per_day / MEGABYTE:.1f} MB, which snapshots bound. A follower's processor time and
 traffic were not measured on their own. Mechanism that exists: snapshots, log
 truncation, learners for replaced disks. Five of {INSTANCES} instances as voters over
@@ -228,7 +237,7 @@
 
 
 def _announcements(capacity: Capacity) -> str:
-    each = capacity.announced.slope
+    each = capacity.announcement_traffic.slope
     return f"""
 ## Announcements of backend servers
 
@@ -244,12 +253,12 @@
 
 
 def _operators(capacity: Capacity) -> str:
-    interval = SECONDS_A_DAY / CHANGES_A_DAY
+    interval = SECONDS_PER_DAY / CHANGES_PER_DAY
     return f"""
 ## ctl
 
-State: declarations in files. Messages: one request per changed node; {CHANGES_A_DAY:,}
-a
+State: declarations in files. Messages: one request per changed node;
+{CHANGES_PER_DAY:,} a
 day are one each {interval:.0f} s. Each change costs the leader
 {capacity.change_cpu.base:.0f}
 ms and {capacity.change_cpu.slope:.2f} ms per proxy that follows, as each gets the whole
@@ -259,8 +268,8 @@
 
 
 def _statements(capacity: Capacity) -> str:
-    best = capacity.saturated
-    wanted = STATEMENTS / DAEMONS
+    best = capacity.peak_throughput
+    wanted = STATEMENTS_PER_SECOND / DAEMONS
     reached = float(best["statements_per_second"])
     callers = CONNECTIONS / DAEMONS
     memory = capacity.caller_rss.at(callers)
@@ -271,7 +280,8 @@
 One proxy process served at most {reached:,.0f} plain reads a second
 ({best["callers"]} callers, {best["cpu_ms_per_statement"]:.2f} ms of processor time
 each),
-against {wanted:,.0f} wanted ({STATEMENTS:,} over {DAEMONS:,}): **{verdict}**.
+against {wanted:,.0f} wanted ({STATEMENTS_PER_SECOND:,} over {DAEMONS:,}):
+**{verdict}**.
 That is {wanted / reached:.1f} processes' worth per daemon. Writes cost more and were
 not
 driven to saturation. Designed, not built: several proxy processes on one instance's
@@ -287,7 +297,7 @@
 
 
 def _times(capacity: Capacity) -> str:
-    force = capacity.force
+    force = capacity.in_force_delay
     view = capacity.view_bytes.at(DATABASES)
     burst = view * DAEMONS
     cpu_seconds = capacity.change_cpu.at(DAEMONS) / MILLISECONDS
@@ -302,9 +312,9 @@
 processor
 time for each change, the {MAX_WATCHERS} waiting long polls and a view of
 {view / MEGABYTE:.1f} MB ({burst / MEGABYTE:,.0f} MB for all daemons, for each of
-{CHANGES_A_DAY:,} changes) stand against it: **not met**. Mechanism that exists: a long
-poll answered as soon as the log has applied. Designed, not built: only what changed, to
-those that follow the subtree, through relays in each failure domain.
+{CHANGES_PER_DAY:,} changes) stand against it: **not met**. Mechanism that exists: a
+long poll answered as soon as the log has applied. Designed, not built: only what
+changed, to those that follow the subtree, through relays in each failure domain.
 
 The failover gap of today's deployments is in `measurements/*-failover.json` (budget
 {BUDGET_FAILOVER_MS / MILLISECONDS:.0f} s). It holds one release to each proxy with a
@@ -322,16 +332,16 @@
     pause = presence_interval(neighbours)
     names = neighbours * NEIGHBOUR_BYTES
     hashes = neighbours * DATABASES // SERVERS_PER_GROUP
-    changes = RESTARTS_A_DAY / FAILURE_DOMAINS
-    names_rate = names * changes / SECONDS_A_DAY
-    presence_rate = PRESENCE_BYTES / pause
+    changes = RESTARTS_PER_DAY / FAILURE_DOMAINS
+    roster_rate = names * changes / SECONDS_PER_DAY
+    heartbeat_rate = HEARTBEAT_BYTES / pause
     return f"""
 ## Sharing pools, by arithmetic
 
 A daemon sends a heartbeat every {pause:.1f} s ({neighbours} daemons in a failure
 domain) and is told the names of its neighbours where they have changed:
-{presence_rate / KILOBYTE:.2f} KB/s and, with {changes:.0f} starts a day in its failure
-domain, {names / KILOBYTE:.0f} KB for each of them, {names_rate / KILOBYTE:.2f} KB/s:
+{heartbeat_rate / KILOBYTE:.2f} KB/s and, with {changes:.0f} starts a day in its failure
+domain, {names / KILOBYTE:.0f} KB for each of them, {roster_rate / KILOBYTE:.2f} KB/s:
 **met**. A control process takes {neighbours / pause:.0f} of them a second for each
 failure domain that turns to it, whatever its size.
 
@@ -343,11 +353,11 @@
 
 
 def _unmeasured() -> str:
-    interval = SECONDS_A_DAY / RESTARTS_A_DAY
+    interval = SECONDS_PER_DAY / RESTARTS_PER_DAY
     return f"""
 ## Not measured
 
-- {RESTARTS_A_DAY:,} restarts or replacements a day (one each {interval:.0f} s): each
+- {RESTARTS_PER_DAY:,} restarts or replacements a day (one each {interval:.0f} s): each
   registers the instance by one committed entry and makes it fetch the whole view.
 - Two regions with their latency, and regions that lose each other for an hour.
 - The loss of a failure domain at size: the reconnects of its callers to the others.
--- a/packages/load/src/dogwoodspool_load/checker.py
+++ b/packages/load/src/dogwoodspool_load/checker.py
@@ -1,8 +1,8 @@
-"""Decide from a history and the final tables whether every rule held.
+"""Check from a history and the final tables whether every rule held.
 
-No library of the registry checks such histories in Python (the known checkers are
-programs for other runtimes and check linearizability, which asynchronous replicas
-do not promise), so these rules are the project's own. Each is one function.
+No Python library of the package registry checks such histories: the known checkers
+are programs for other runtimes and check linearizability, which asynchronous replicas
+do not guarantee. The rules are therefore implemented here, one function each.
 """
 
 from collections import Counter, defaultdict
@@ -29,7 +29,7 @@
 
 
 class History:
-    """Operations of a history: reads, and writes by request.
+    """Operations of a history: reads, and writes grouped by request.
 
     Raises:
         HistoryError: an answer has no invocation.
@@ -48,7 +48,9 @@
             elif key in operations:
                 operations[key].answer = event
             else:
-                raise HistoryError(f"an answer without its invocation: {key}")
+                raise HistoryError(
+                    f"answer without invocation: (request, attempt) {key}"
+                )
 
     def _add(self, operation: Operation) -> None:
         invocation = operation.invocation
@@ -65,7 +67,7 @@
 def check_history(
     events: Iterable[Event], finals: Sequence[GroupFinal]
 ) -> list[Violation]:
-    """Return every violation of every rule.
+    """Return the violations of all rules.
 
     Example:
         >>> check_history(read_history(path), finals)
@@ -83,43 +85,47 @@
         if read.outcome is not Outcome.OK or read.answer is None:
             continue
         rows = read.answer.rows
-        yield from _whole_answer(read.invocation, rows)
-        yield from _both_or_none(read.invocation, rows)
-        yield from _read_your_writes(history, read.invocation, rows)
-        yield from _stated_age(history, read.invocation, rows)
+        yield from _check_whole_answer(read.invocation, rows)
+        yield from _check_atomic_reads(read.invocation, rows)
+        yield from _check_read_your_writes(history, read.invocation, rows)
+        yield from _check_max_age(history, read.invocation, rows)
 
 
 def _check_final(history: History, final: GroupFinal) -> Iterator[Violation]:
-    held = Counter((row.tag, row.part) for row in final.rows)
+    stored = Counter((row.tag, row.part) for row in final.rows)
     writes = {
         tag: write
         for tag, write in history.writes.items()
         if write.first.group == final.group
     }
     for tag, write in writes.items():
-        parts = [held[tag, part] for part in range(1, write.first.rows_written + 1)]
-        yield from _acknowledged_write(final, write, parts)
-        yield from _at_most_once(final, write, parts)
-        yield from _not_run(final, write, parts)
-        yield from _promotion_safety(final, write)
-    yield from _final_rows(final, writes)
+        parts = [stored[tag, part] for part in range(1, write.first.rows_written + 1)]
+        yield from _check_acknowledged_write(final, write, parts)
+        yield from _check_at_most_once(final, write, parts)
+        yield from _check_not_run(final, write, parts)
+        yield from _check_promotion_safety(final, write)
+    yield from _check_final_rows(final, writes)
 
 
-def _whole_answer(read: Invocation, rows: Sequence[RowSeen]) -> Iterator[Violation]:
+def _check_whole_answer(
+    read: Invocation, rows: Sequence[RowSeen]
+) -> Iterator[Violation]:
     def violation(detail: str) -> Violation:
         return Violation(Rule.WHOLE_ANSWER, read.group, read.request, detail)
 
     for row in rows:
         if row.marker != read.request:
-            yield violation(f"a row of the answer to {row.marker}")
+            yield violation(f"a row belongs to the answer to {row.marker}")
         if row.checksum != checksum_of(row.tag, row.part, row.body):
-            yield violation(f"the row of {row.tag} has a wrong checksum")
+            yield violation(f"row {row.tag} has a wrong checksum")
         if row.total != len(rows):
-            yield violation(f"{len(rows)} rows of {row.total}")
+            yield violation(f"received {len(rows)} of {row.total} rows")
             return
 
 
-def _both_or_none(read: Invocation, rows: Sequence[RowSeen]) -> Iterator[Violation]:
+def _check_atomic_reads(
+    read: Invocation, rows: Sequence[RowSeen]
+) -> Iterator[Violation]:
     if read.table is not Table.PAIRS:
         return
     seen = defaultdict(list)
@@ -127,15 +133,15 @@
         seen[row.tag].append(row.part)
     for tag, parts in seen.items():
         if sorted(parts) != [1, 2]:
-            detail = f"the transaction {tag} shows parts {sorted(parts)}"
+            detail = f"transaction {tag} is visible only with parts {sorted(parts)}"
             yield Violation(Rule.TRANSACTIONS, read.group, read.request, detail)
 
 
-def _read_your_writes(
+def _check_read_your_writes(
     history: History, read: Invocation, rows: Sequence[RowSeen]
 ) -> Iterator[Violation]:
     seen = {row.tag for row in rows}
-    for write in _writes_read(history, read):
+    for write in _writes_to_room(history, read):
         done = write.acknowledged
         if (
             done is None
@@ -148,39 +154,40 @@
         if write.first.request not in seen:
             detail = (
                 f"own write {write.first.request} through {done.invocation.proxy} is "
-                f"not read through {read.proxy}, "
+                f"missing from a read through {read.proxy} "
                 f"{(read.at - done.answer.at) * MILLISECONDS:.1f} ms later"
             )
             yield Violation(Rule.READ_YOUR_WRITES, read.group, read.request, detail)
 
 
-def _stated_age(
+def _check_max_age(
     history: History, read: Invocation, rows: Sequence[RowSeen]
 ) -> Iterator[Violation]:
     if read.max_age_ms is None:
         return
     seen = {row.tag for row in rows}
     oldest = read.at - read.max_age_ms / MILLISECONDS
-    for write in _writes_read(history, read):
+    for write in _writes_to_room(history, read):
         done = write.acknowledged
         if done is None or done.answer is None or done.answer.at >= oldest:
             continue
         if write.first.request not in seen:
             age = (read.at - done.answer.at) * MILLISECONDS
             detail = (
-                f"{write.first.request}, acknowledged {age:.0f} ms before, is missing "
-                f"from a read of at most {read.max_age_ms} ms age at {read.proxy}"
+                f"write {write.first.request}, acknowledged {age:.0f} ms before, is "
+                f"missing from a read with max_age_ms={read.max_age_ms} through "
+                f"{read.proxy}"
             )
             yield Violation(Rule.STATED_AGE, read.group, read.request, detail)
 
 
-def _writes_read(history: History, read: Invocation) -> Iterator[WriteRequest]:
+def _writes_to_room(history: History, read: Invocation) -> Iterator[WriteRequest]:
     for write in history.writes_by_room.get(read.room, ()):
         if write.first.table is read.table and write.first.group == read.group:
             yield write
 
 
-def _acknowledged_write(
+def _check_acknowledged_write(
     final: GroupFinal, write: WriteRequest, parts: Sequence[int]
 ) -> Iterator[Violation]:
     done = write.acknowledged
@@ -188,43 +195,45 @@
         position = done.answer.position if done.answer else None
         detail = (
             f"acknowledged through {done.invocation.proxy} at {position}, "
-            f"rows in the end: {list(parts)}"
+            f"rows per part after the run: {list(parts)}"
         )
         yield Violation(
             Rule.ACKNOWLEDGED_WRITE, final.group, write.first.request, detail
         )
 
 
-def _at_most_once(
+def _check_at_most_once(
     final: GroupFinal, write: WriteRequest, parts: Sequence[int]
 ) -> Iterator[Violation]:
     if any(count > 1 for count in parts):
         outcomes = [str(attempt.outcome) for attempt in write.attempts]
-        detail = f"rows in the end: {list(parts)}; its attempts ended {outcomes}"
+        detail = f"rows per part after the run: {list(parts)}; outcomes {outcomes}"
         yield Violation(Rule.AT_MOST_ONCE, final.group, write.first.request, detail)
 
 
-def _not_run(
+def _check_not_run(
     final: GroupFinal, write: WriteRequest, parts: Sequence[int]
 ) -> Iterator[Violation]:
     if write.must_be_absent and any(parts):
         outcomes = [str(attempt.outcome) for attempt in write.attempts]
-        detail = f"rows in the end: {list(parts)}; its attempts ended {outcomes}"
+        detail = f"rows per part after the run: {list(parts)}; outcomes {outcomes}"
         yield Violation(Rule.NOT_RUN, final.group, write.first.request, detail)
 
 
-def _promotion_safety(final: GroupFinal, write: WriteRequest) -> Iterator[Violation]:
+def _check_promotion_safety(
+    final: GroupFinal, write: WriteRequest
+) -> Iterator[Violation]:
     done = write.acknowledged
     if done is None or done.answer is None or done.answer.position is None:
         return
     position = done.answer.position
-    start = _branch_before(position, final.term_starts)
+    start = _excluding_term_start(position, final.term_starts)
     if start is not None:
-        detail = f"acknowledged at {position}, past the branch {start}"
+        detail = f"acknowledged at {position}, after the start {start} of a later term"
         yield Violation(Rule.PROMOTION_SAFETY, final.group, write.first.request, detail)
 
 
-def _branch_before(
+def _excluding_term_start(
     position: Position, term_starts: Sequence[Position]
 ) -> Position | None:
     for start in term_starts:
@@ -233,25 +242,25 @@
     return None
 
 
-def _final_rows(
+def _check_final_rows(
     final: GroupFinal, writes: dict[str, WriteRequest]
 ) -> Iterator[Violation]:
     pairs: dict[str, list[int]] = defaultdict(list)
     for row in final.rows:
         if row.checksum != checksum_of(row.tag, row.part, row.body):
-            detail = "a stored row has a wrong checksum"
+            detail = "the stored row has a wrong checksum"
             yield Violation(Rule.WHOLE_ANSWER, final.group, row.tag, detail)
         write = writes.get(row.tag)
-        if write is None or not _is_its_own(row, write):
-            detail = f"a row of no request in {row.table} {row.room}"
+        if write is None or not _is_written_by(row, write):
+            detail = f"no request wrote this row to {row.table}, room {row.room}"
             yield Violation(Rule.TRANSACTIONS, final.group, row.tag, detail)
         if row.table is Table.PAIRS:
             pairs[row.tag].append(row.part)
     for tag, parts in pairs.items():
         if set(parts) != {1, 2}:
-            detail = f"only parts {sorted(parts)} of the transaction are stored"
+            detail = f"parts {sorted(parts)} of the transaction are stored"
             yield Violation(Rule.TRANSACTIONS, final.group, tag, detail)
 
 
-def _is_its_own(row: FinalRow, write: WriteRequest) -> bool:
+def _is_written_by(row: FinalRow, write: WriteRequest) -> bool:
     return row.table is write.first.table and row.room == write.first.room
--- a/packages/load/src/dogwoodspool_load/const.py
+++ b/packages/load/src/dogwoodspool_load/const.py
@@ -9,8 +9,8 @@
 FILE_HDR: Final = "latencies-{kind}.hdr"
 FILE_PLOT: Final = "latency.png"
 
-# A caller's writes go to one room for so many writes, then to the next, so that
-# the answer to a read of a room stays small however long a run lasts.
+# A caller moves on to a new room after this number of writes, so that the answer
+# to a read of a room stays small regardless of the length of a run.
 WRITES_PER_ROOM: Final = 12
 
 DEFAULT_SECONDS: Final = 10.0
@@ -26,19 +26,19 @@
 RETRY_PAUSE_SECONDS: Final = 0.05
 CONNECT_TIMEOUT_SECONDS: Final = 3
 ANSWER_TIMEOUT_SECONDS: Final = 6
-SETTLE_SECONDS: Final = 20.0
+FINAL_READ_TIMEOUT_SECONDS: Final = 20.0
 STALE_READ_MS: Final = 2_000
 
-# Error numbers of the callers' protocol, see docs/ARCHITECTURE.md.
+# Error number that a proxy sends to its callers, see docs/ARCHITECTURE.md.
 ER_SESSION_REFUSED: Final = 1044
 
-LOWEST_US: Final = 1
-HIGHEST_US: Final = 120_000_000
+MIN_LATENCY_US: Final = 1
+MAX_LATENCY_US: Final = 120_000_000
 SIGNIFICANT_DIGITS: Final = 3
 MICROSECONDS: Final = 1_000_000
 PERCENTILE_MEDIAN: Final = 50.0
 PERCENTILE_TAIL: Final = 99.0
-PERCENTILE_FAR_TAIL: Final = 99.9
+PERCENTILE_EXTREME_TAIL: Final = 99.9
 
 SHARED_MACHINE_NOTE: Final = (
     "one machine with all processes on loopback, shared with other test runs"
--- a/packages/load/src/dogwoodspool_load/control_slope.py
+++ b/packages/load/src/dogwoodspool_load/control_slope.py
@@ -20,24 +20,29 @@
 from .const import SLOPE_SERVERS_PER_GROUP as SERVERS_PER_GROUP
 from .const import SLOPE_SETTLE_SECONDS as SETTLE_SECONDS
 from .const import SLOPE_WINDOW_SECONDS as WINDOW_SECONDS
-from .fake_proxies import RENEW_SECONDS, FakeProxy, announcements_of
+from .fake_proxies import RENEW_SECONDS, FakeProxy, build_announcements
 from .process_usage import cpu_seconds, measure_usage
 from .relay import CountingRelay
 
 CONTROL_PROXIES: Final = (4, 8, 16, 24)
 CONTROL_GROUPS: Final = (3, 12, 36)
-FIXED_PROXIES: Final = 8
-FIXED_GROUPS: Final = 3
+BASE_PROXIES: Final = 8
+BASE_GROUPS: Final = 3
 CHANGES: Final = 20
 FIRST_DEADLINE_MS: Final = 1_000
-READY_SECONDS: Final = 30.0
-FORCE_LIMIT_SECONDS: Final = 13.0
+READY_TIMEOUT_SECONDS: Final = 30.0
+IN_FORCE_TIMEOUT_SECONDS: Final = 13.0
 POLL_SECONDS: Final = 0.002
 
 
 @dataclass
 class ControlLoad:
-    """A real control group under fake proxies."""
+    """A real control group under the load of fake proxies.
+
+    Attributes:
+        seen: latest version of the view at each fake proxy, with the monotonic time
+            at which the proxy received it.
+    """
 
     deployment: Deployment
     proxies: list[FakeProxy]
@@ -51,8 +56,8 @@
         assert leader is not None
         return self.deployment.processes.pid(leader.name)
 
-    def wait_seen(self, version: int, deadline: float) -> float | None:
-        """Return when the last proxy had a version; None past the deadline."""
+    def wait_for_version(self, version: int, deadline: float) -> float | None:
+        """Return when the last proxy received a version; None past the deadline."""
         while time.monotonic() < deadline:
             seen = list(self.seen.values())
             if len(seen) == len(self.proxies) and all(
@@ -65,7 +70,7 @@
 
 @contextmanager
 def control_load(proxies: int, groups: int) -> Iterator[ControlLoad]:
-    """Run three voters under so many fake proxies and groups."""
+    """Run three voters under the given numbers of fake proxies and groups."""
     shape = DeploymentShape(
         failure_domains=DOMAINS,
         proxies=0,
@@ -77,7 +82,7 @@
         assert leader is not None
         relay = CountingRelay(lambda: leader.address)
         relay.set_up()
-        servers = announcements_of(groups, SERVERS_PER_GROUP, DOMAINS)
+        servers = build_announcements(groups, SERVERS_PER_GROUP, DOMAINS)
         seen: dict[str, tuple[int, float]] = {}
         lock = threading.Lock()
 
@@ -105,7 +110,7 @@
             deployment.wait_for(
                 "grants at every fake proxy",
                 lambda: all(fake.held_groups == groups for fake in fakes),
-                READY_SECONDS,
+                READY_TIMEOUT_SECONDS,
             )
             yield load
         finally:
@@ -115,17 +120,17 @@
 
 
 def measure_control() -> dict[str, Any]:
-    """Measure the leader against proxies and groups; settings and log on the way."""
+    """Measure the leader, changes of settings and log growth at each size."""
     points = []
     for proxies in CONTROL_PROXIES:
-        points.append(_control_at(proxies, FIXED_GROUPS))
+        points.append(_measure_at(proxies, BASE_GROUPS))
     for groups in CONTROL_GROUPS:
-        if groups != FIXED_GROUPS:
-            points.append(_control_at(FIXED_PROXIES, groups))
+        if groups != BASE_GROUPS:
+            points.append(_measure_at(BASE_PROXIES, groups))
     return {"points": points}
 
 
-def _control_at(proxies: int, groups: int) -> dict[str, Any]:
+def _measure_at(proxies: int, groups: int) -> dict[str, Any]:
     with control_load(proxies, groups) as load:
         time.sleep(SETTLE_SECONDS)
         renewals = sum(fake.renewals for fake in load.proxies)
@@ -141,7 +146,7 @@
             "renewals_per_second": round(renewed / usage.seconds, 1),
             "refused_per_second": round(refused / usage.seconds, 1),
             "view_bytes": _view_bytes(load.deployment),
-            **_changes(load),
+            **_measure_changes(load),
         }
     print(f"control leader: {point}", flush=True)
     return point
@@ -156,8 +161,8 @@
     return len(json.dumps(answer, separators=(",", ":")))
 
 
-def _changes(load: ControlLoad) -> dict[str, Any]:
-    """Change a setting some times; return time to force and log size per change."""
+def _measure_changes(load: ControlLoad) -> dict[str, Any]:
+    """Change a setting repeatedly; return delays, log growth and leader CPU time."""
     deployment = load.deployment
     leader = deployment.leader()
     assert leader is not None
@@ -179,19 +184,19 @@
         }
         began_at = time.monotonic()
         answer = deployment.client.post(leader.address, PATH_SETTINGS_CHANGE, body, 5.0)
-        in_force_at = load.wait_seen(
-            int(answer["view_version"]), began_at + FORCE_LIMIT_SECONDS
+        in_force_at = load.wait_for_version(
+            int(answer["view_version"]), began_at + IN_FORCE_TIMEOUT_SECONDS
         )
         if in_force_at is not None:
             times.append((in_force_at - began_at) * MILLISECONDS)
-    grown = _folder_bytes(folder) - before
+    log_growth = _folder_bytes(folder) - before
     times.sort()
     return {
         "changes": CHANGES,
         "changes_in_force": len(times),
         "in_force_ms_median": round(times[len(times) // 2], 1) if times else None,
         "in_force_ms_worst": round(times[-1], 1) if times else None,
-        "log_bytes_per_change": round(grown / CHANGES, 1),
+        "log_bytes_per_change": round(log_growth / CHANGES, 1),
         "leader_cpu_ms_per_change": round(
             (cpu_seconds(load.leader_pid) - cpu) * MILLISECONDS / CHANGES, 1
         ),
--- a/packages/load/src/dogwoodspool_load/errors.py
+++ b/packages/load/src/dogwoodspool_load/errors.py
@@ -4,7 +4,7 @@
 
 
 class LoadError(DogwoodspoolError):
-    """Base of the errors of this library."""
+    """Base class of the errors of this library."""
 
 
 class HistoryError(LoadError):
@@ -12,4 +12,4 @@
 
 
 class ScheduleError(LoadError):
-    """Report a schedule of faults that cannot be carried out."""
+    """Report a schedule of faults that cannot be parsed or carried out."""
--- a/packages/load/src/dogwoodspool_load/failover.py
+++ b/packages/load/src/dogwoodspool_load/failover.py
@@ -1,4 +1,4 @@
-"""Measure failover gaps: kill or move a primary while writers keep trying."""
+"""Measure failover gaps: kill or replace a primary under continuous writes."""
 
 import re
 import threading
@@ -20,9 +20,9 @@
 from .faults import FaultInjector
 from .gaps import (
     ANY_PROXY,
-    Acknowledged,
+    AcknowledgedWrite,
     FailoverGap,
-    first_after,
+    first_acknowledgements,
     longest_pauses,
     milliseconds,
 )
@@ -32,11 +32,11 @@
 
 WRITE_PAUSE_SECONDS: Final = 0.005
 WRITE_DEADLINE_MS: Final = 500
-CONNECT_SECONDS: Final = 2
-ANSWER_SECONDS: Final = 3
-WARM_SECONDS: Final = 0.6
-AFTER_SECONDS: Final = 0.6
-LIMIT_SECONDS: Final = 20.0
+CONNECT_TIMEOUT_SECONDS: Final = 2
+ANSWER_TIMEOUT_SECONDS: Final = 3
+WARM_UP_SECONDS: Final = 0.6
+OBSERVATION_SECONDS: Final = 0.6
+RECOVERY_TIMEOUT_SECONDS: Final = 20.0
 POLL_SECONDS: Final = 0.05
 ROOM: Final = "failover"
 SQL_STATUS: Final = "SHOW STANDIN STATUS"
@@ -50,52 +50,53 @@
 
 
 class FailoverMeter:
-    """Strike the primaries of a deployment's groups in turn."""
+    """Measure the gaps of changes of primary in a deployment."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self._injector = FaultInjector(deployment)
 
     def measure(self, group: str, action: FaultAction) -> FailoverGap:
-        """Strike a group's primary once and wait until the group is whole again.
+        """Change a group's primary once and wait until its replicas follow again.
 
         Raises:
-            LoadError: no write was acknowledged within the limit.
+            LoadError: a proxy had no write acknowledged within
+                ``RECOVERY_TIMEOUT_SECONDS`` of the fault.
         """
         deployment = self._deployment
         old = deployment.primary(group)
         phases_before = self._phases(group)
         stop = threading.Event()
-        acknowledged: list[Acknowledged] = []
+        acknowledged: list[AcknowledgedWrite] = []
         with ThreadPoolExecutor(len(deployment.proxies), "writer") as executor:
             futures = [
-                executor.submit(self._write_on, proxy, group, stop, acknowledged)
+                executor.submit(self._write_through, proxy, group, stop, acknowledged)
                 for proxy in deployment.proxies
             ]
             try:
-                time.sleep(WARM_SECONDS)
+                time.sleep(WARM_UP_SECONDS)
                 before = time.monotonic()
-                self._injector.strike(ScheduledFault(0.0, action, group))
-                struck_at = time.monotonic()
-                self._wait_for_writes(struck_at, group, old.name, acknowledged)
-                time.sleep(AFTER_SECONDS)
+                self._injector.inject(ScheduledFault(0.0, action, group))
+                fault_at = time.monotonic()
+                self._wait_for_writes(fault_at, group, old.name, acknowledged)
+                time.sleep(OBSERVATION_SECONDS)
             finally:
                 stop.set()
             for future in futures:
                 future.result()
         deployment.wait_for(
-            f"the end of the promotion of {group}",
+            f"the steady phase of {group}",
             lambda: self._is_steady(group),
         )
         phases = self._phases(group)[len(phases_before) :]
         new = deployment.primary(group)
         if not deployment.processes.is_running(old.name):
             self._injector.restart(old.name)
-        self.wait_until_whole(group)
+        self.wait_until_caught_up(group)
         if action is FaultAction.PROMOTE:
             gaps = longest_pauses(acknowledged, before)
         else:
-            gaps = first_after(acknowledged, struck_at)
+            gaps = first_acknowledgements(acknowledged, fault_at)
         return FailoverGap(
             action=str(action),
             gap_ms=milliseconds(gaps[ANY_PROXY]),
@@ -104,17 +105,17 @@
             primary=new.name,
         )
 
-    def wait_until_whole(self, group: str) -> None:
-        """Wait until every other server of the group follows its primary again."""
+    def wait_until_caught_up(self, group: str) -> None:
+        """Wait until every other server of the group is a caught-up replica."""
         self._deployment.wait_for(
-            f"replicas of {group} that follow", lambda: self._is_whole(group)
+            f"caught-up replicas of {group}", lambda: self._is_caught_up(group)
         )
 
-    def _has_moved(self, group: str, old: str) -> bool:
+    def _has_new_primary(self, group: str, old: str) -> bool:
         try:
             return self._deployment.primary(group).name != old
         except TestbedError:
-            return False  # The group is between two primaries.
+            return False  # The group has no primary during the change.
 
     def _is_steady(self, group: str) -> bool:
         try:
@@ -123,10 +124,10 @@
             return False
         return any(one.name == group and one.phase is Phase.STEADY for one in groups)
 
-    def _is_whole(self, group: str) -> bool:
+    def _is_caught_up(self, group: str) -> bool:
         primary = self._deployment.primary(group)
         try:
-            lead = self._status(primary.name)
+            primary_status = self._status(primary.name)
             others = [
                 self._status(one.name)
                 for one in self._deployment.standins
@@ -134,7 +135,9 @@
             ]
         except pymysql.MySQLError:
             return False
-        return all(role == ROLE_REPLICA and at >= lead[1] for role, at in others)
+        return all(
+            role == ROLE_REPLICA and at >= primary_status[1] for role, at in others
+        )
 
     def _status(self, name: str) -> tuple[str, Position]:
         standin = next(one for one in self._deployment.standins if one.name == name)
@@ -150,31 +153,34 @@
 
     def _wait_for_writes(
         self,
-        struck_at: float,
+        fault_at: float,
         group: str,
         old: str,
-        acknowledged: Sequence[Acknowledged],
+        acknowledged: Sequence[AcknowledgedWrite],
     ) -> None:
-        """Wait until the primary has changed and every proxy writes to the new one."""
-        deadline = struck_at + LIMIT_SECONDS
+        """Wait until every proxy had a write acknowledged by the new primary."""
+        deadline = fault_at + RECOVERY_TIMEOUT_SECONDS
         self._deployment.wait_for(
-            f"another primary than {old}",
-            lambda: self._has_moved(group, old),
-            LIMIT_SECONDS,
+            f"a primary other than {old}",
+            lambda: self._has_new_primary(group, old),
+            RECOVERY_TIMEOUT_SECONDS,
         )
         changed_at = time.monotonic()
         wanted = {proxy.name for proxy in self._deployment.proxies}
         while {one.proxy for one in acknowledged if one.sent_at > changed_at} < wanted:
             if time.monotonic() > deadline:
-                raise LoadError(f"not every proxy writes to {group} again")
+                raise LoadError(
+                    f"not every proxy had a write to {group} acknowledged within "
+                    f"{RECOVERY_TIMEOUT_SECONDS:g} s of the fault"
+                )
             time.sleep(POLL_SECONDS)
 
-    def _write_on(
+    def _write_through(
         self,
         proxy: ProxyHandle,
         group: str,
         stop: threading.Event,
-        acknowledged: list[Acknowledged],
+        acknowledged: list[AcknowledgedWrite],
     ) -> None:
         connection: CallerConnection | None = None
         while not stop.wait(WRITE_PAUSE_SECONDS):
@@ -184,8 +190,8 @@
                     connection = self._deployment.connect(
                         proxy,
                         group,
-                        connect_timeout=CONNECT_SECONDS,
-                        read_timeout=ANSWER_SECONDS,
+                        connect_timeout=CONNECT_TIMEOUT_SECONDS,
+                        read_timeout=ANSWER_TIMEOUT_SECONDS,
                     )
                 with connection.cursor() as cursor:
                     cursor.execute(_statement(proxy))
@@ -193,7 +199,9 @@
                 if not _has_outcome(error):
                     connection = None
                 continue
-            acknowledged.append(Acknowledged(proxy.name, sent_at, time.monotonic()))
+            acknowledged.append(
+                AcknowledgedWrite(proxy.name, sent_at, time.monotonic())
+            )
         if connection is not None:
             connection.close()
 
--- a/packages/load/src/dogwoodspool_load/fake_control.py
+++ b/packages/load/src/dogwoodspool_load/fake_control.py
@@ -1,4 +1,4 @@
-"""A control leader of one process that gives every grant, to weigh a proxy alone."""
+"""Simulated control leader that issues every grant, to measure a proxy in isolation."""
 
 import threading
 from collections.abc import Sequence
@@ -32,10 +32,12 @@
 
 
 class FakeControl:
-    """Serve one fixed view and answer renewals with a grant for each group.
+    """Serve a fixed view and answer renewals with a grant for each group.
 
     Args:
-        leader: address that proxies are told to talk to, such as a relay's.
+        key: key that requests are signed with.
+        servers: servers of the view.
+        root: settings of the root of the settings tree.
     """
 
     def __init__(
@@ -59,16 +61,20 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address that the server listens on."""
         return self._server.address
 
     def set_up(self, leader: Address) -> None:
-        """Begin to answer."""
+        """Start answering requests.
+
+        Args:
+            leader: address of the leader as told to proxies, such as a relay's.
+        """
         self._leader = str(leader)
         self._server.set_up()
 
     def unload(self) -> None:
-        """Stop answering."""
+        """Stop answering requests."""
         self._stop.set()
         self._server.unload()
 
--- a/packages/load/src/dogwoodspool_load/fake_proxies.py
+++ b/packages/load/src/dogwoodspool_load/fake_proxies.py
@@ -1,4 +1,4 @@
-"""Light proxies that only renew and watch, to load control with many of them."""
+"""Simulated proxies that only renew and watch, to load control with many of them."""
 
 import threading
 import time
@@ -24,21 +24,21 @@
 WATCH_TIMEOUT: Final = 12.0
 FAKE_SLOTS: Final = 3
 FAKE_CONNECTIONS: Final = 1_000
-# Nothing listens there; healthy servers are not contacted by control.
-NOWHERE: Final = "127.0.0.1:9"
+# No process listens on this port; control does not contact healthy servers.
+UNUSED_ADDRESS: Final = "127.0.0.1:9"
 POSITION: Final = PositionMessage(term=1, offset=1)
 
 
-def announcements_of(
+def build_announcements(
     groups: int, servers_per_group: int, failure_domains: Sequence[str]
 ) -> list[Announcement]:
-    """Return what the servers of so many groups would announce."""
+    """Return the announcements that the servers of the given groups would send."""
     return [
         Announcement(
             server=f"group{group}-{number}",
             group=f"group{group}",
             failure_domain=failure_domains[number % len(failure_domains)],
-            address=NOWHERE,
+            address=UNUSED_ADDRESS,
             role=Role.REPLICA if number else Role.PRIMARY,
             position=POSITION,
             slots=FAKE_SLOTS,
@@ -50,13 +50,13 @@
 
 
 class FakeProxy:
-    """Renew and watch as a proxy without callers does.
+    """Send the renewals and watch requests of a proxy without callers.
 
     Args:
-        leader: address to renew at and to watch.
-        servers: every server, as it would announce itself; this proxy repeats
-            the announcements of its own failure domain and reports all as healthy.
-        on_version: told each newer version of the view.
+        leader: address that renewals and watch requests are sent to.
+        servers: announcements of all servers; this proxy forwards those of its own
+            failure domain and reports every server as healthy.
+        on_version: called with the proxy's name and each newer version of the view.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         self._on_version = on_version
         self._name = name
         self._version = 0
-        self._held: dict[str, int] = {}
+        self._held_terms: dict[str, int] = {}
         self._stop = threading.Event()
         self._threads = [
-            threading.Thread(target=self._renew_always, daemon=True),
-            threading.Thread(target=self._watch_always, daemon=True),
+            threading.Thread(target=self._renew_loop, daemon=True),
+            threading.Thread(target=self._watch_loop, daemon=True),
         ]
         self.renewals = 0
         self.refusals = 0
@@ -85,7 +85,7 @@
             proxy=name,
             incarnation=uuid.uuid4().hex,
             failure_domain=failure_domain,
-            address=NOWHERE,
+            address=UNUSED_ADDRESS,
             view_version=0,
             observations=[
                 Observation(
@@ -105,19 +105,19 @@
 
     @property
     def held_groups(self) -> int:
-        """Groups for which control gave a grant."""
-        return len(self._held)
+        """Number of groups for which control issued a grant."""
+        return len(self._held_terms)
 
     def set_up(self) -> None:
-        """Begin to renew and to watch."""
+        """Start the renewals and the watch."""
         for thread in self._threads:
             thread.start()
 
     def unload(self) -> None:
-        """Stop."""
+        """Signal both threads to stop."""
         self._stop.set()
 
-    def _renew_always(self) -> None:
+    def _renew_loop(self) -> None:
         pause = 0.0
         while not self._stop.wait(pause):
             began_at = time.monotonic()
@@ -133,17 +133,17 @@
                 "view_version": self._version,
                 "groups": [
                     GroupReport(group=group, held_term=term, acked=POSITION)
-                    for group, term in self._held.items()
+                    for group, term in self._held_terms.items()
                 ],
             }
         )
         answer: dict[str, Any] = self._client.post(
             self._leader, PATH_RENEW, request.model_dump(mode="json")
         )
-        self._held = {grant["group"]: grant["term"] for grant in answer["grants"]}
+        self._held_terms = {grant["group"]: grant["term"] for grant in answer["grants"]}
         self.renewals += 1
 
-    def _watch_always(self) -> None:
+    def _watch_loop(self) -> None:
         while not self._stop.is_set():
             query = {"after": str(self._version), "wait_ms": str(WATCH_WAIT_MS)}
             began_at = time.monotonic()
@@ -158,5 +158,5 @@
                 self._version = int(answer["view"]["version"])
                 self._on_version(self._name, self._version)
             elif time.monotonic() - began_at < WATCH_WAIT_MS / MILLISECONDS / 2:
-                # Control has no place for one more waiting request.
+                # Control answered early: it is at its limit of waiting watch requests.
                 self._stop.wait(RETRY_SECONDS)
--- a/packages/load/src/dogwoodspool_load/faults.py
+++ b/packages/load/src/dogwoodspool_load/faults.py
@@ -15,12 +15,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FaultDone:
-    """A fault that was carried out.
+class InjectedFault:
+    """A fault of the schedule that was injected or attempted.
 
     Attributes:
         at: monotonic seconds.
-        detail: what it struck, such as the name of the primary then.
+        detail: what it was injected into, such as the name of the primary at that
+            time, or the error that prevented it.
     """
 
     fault: ScheduledFault
@@ -29,11 +30,11 @@
 
 
 class FaultInjector:
-    """Strike a deployment; processes and switches are reached by name."""
+    """Inject faults into a deployment's processes and network connections."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
-        self._cut: set[str] = set()
+        self._cut_domains: set[str] = set()
         self._actions: Mapping[FaultAction, Callable[[ScheduledFault], str]] = {
             FaultAction.KILL_PRIMARY: self._kill_primary,
             FaultAction.FREEZE_PRIMARY: self._freeze_primary,
@@ -49,54 +50,56 @@
             FaultAction.SILENCE: self._silence,
         }
 
-    def strike(self, fault: ScheduledFault) -> FaultDone:
-        """Carry out one fault now."""
+    def inject(self, fault: ScheduledFault) -> InjectedFault:
+        """Inject one fault now."""
         at = time.monotonic()
-        return FaultDone(fault, at, self._actions[fault.action](fault))
+        return InjectedFault(fault, at, self._actions[fault.action](fault))
 
     def run(
         self,
         faults: Sequence[ScheduledFault],
         begins_at: float,
         stop: threading.Event,
-        done: list[FaultDone],
+        injected: list[InjectedFault],
     ) -> None:
-        """Carry out a schedule; a fault that cannot be struck is said as such."""
+        """Inject the faults of a schedule; record a failed one as not done."""
         for fault in faults:
             if stop.wait(max(0.0, begins_at + fault.at - time.monotonic())):
                 return
             try:
-                done.append(self.strike(fault))
+                injected.append(self.inject(fault))
             except (DogwoodspoolError, KeyError) as error:
-                done.append(FaultDone(fault, time.monotonic(), f"not done: {error!r}"))
+                injected.append(
+                    InjectedFault(fault, time.monotonic(), f"not done: {error!r}")
+                )
 
     def restart(self, name: str) -> None:
-        """Start an ended process again; its new addresses are taken over."""
+        """Restart an ended process and store its new addresses in the deployment."""
         deployment = self._deployment
         deployment.processes.restart(name)
         ready = deployment.processes.ready(name)
         for index, standin in enumerate(deployment.standins):
             if standin.name == name:
-                deployment.standins[index] = _moved_standin(standin, ready)
+                deployment.standins[index] = _standin_with_addresses(standin, ready)
         for index, proxy in enumerate(deployment.proxies):
             if proxy.name == name:
-                deployment.proxies[index] = _moved_proxy(proxy, ready)
+                deployment.proxies[index] = _proxy_with_addresses(proxy, ready)
 
     def _primary(self, group: str) -> StandinHandle:
         if group not in self._deployment.shape.groups:
-            raise ScheduleError(f"no group {group!r}")
+            raise ScheduleError(f"unknown group {group!r}")
         while True:
             try:
                 return self._deployment.primary(group)
             except TestbedError:
-                # During an election no voter confirms its state.
+                # During an election no voter can confirm the view.
                 time.sleep(RETRY_SECONDS)
 
     def _standin(self, name: str) -> StandinHandle:
         for standin in self._deployment.standins:
             if standin.name == name:
                 return standin
-        raise ScheduleError(f"no backend server {name!r}")
+        raise ScheduleError(f"unknown backend server {name!r}")
 
     def _kill_primary(self, fault: ScheduledFault) -> str:
         primary = self._primary(fault.target)
@@ -113,24 +116,27 @@
         return fault.target
 
     def _cut_failure_domain(self, fault: ScheduledFault) -> str:
-        self._cut.add(fault.target)
+        self._cut_domains.add(fault.target)
         return self._apply_cuts()
 
     def _heal_failure_domain(self, fault: ScheduledFault) -> str:
-        self._cut.discard(fault.target)
+        self._cut_domains.discard(fault.target)
         return self._apply_cuts()
 
     def _apply_cuts(self) -> str:
-        """Cut the backend servers' connections; control's own stay as they are."""
+        """Cut the backend servers' connections across failure domains.
+
+        The connections of control itself are not cut.
+        """
         domains = set(self._deployment.shape.failure_domains)
         for standin in self._deployment.standins:
             home = standin.failure_domain
-            lost = domains - {home} if home in self._cut else self._cut
+            lost = domains - {home} if home in self._cut_domains else self._cut_domains
             try:
                 self._deployment.fault(standin, cut_failure_domains=sorted(lost))
             except HttpError:
-                continue  # It was killed, and so it is cut off anyway.
-        return ",".join(sorted(self._cut))
+                continue  # The server was killed and is unreachable in any case.
+        return ",".join(sorted(self._cut_domains))
 
     def _kill(self, fault: ScheduledFault) -> str:
         self._deployment.processes.kill(fault.target)
@@ -143,7 +149,7 @@
     def _kill_leader(self, _fault: ScheduledFault) -> str:
         leader = self._deployment.leader()
         if leader is None:
-            raise ScheduleError("control has no leader now")
+            raise ScheduleError("control has no leader at present")
         self._deployment.processes.kill(leader.name)
         return leader.name
 
@@ -164,7 +170,9 @@
         return fault.target
 
 
-def _moved_standin(handle: StandinHandle, ready: Mapping[str, str]) -> StandinHandle:
+def _standin_with_addresses(
+    handle: StandinHandle, ready: Mapping[str, str]
+) -> StandinHandle:
     return replace(
         handle,
         address=Address.parse(ready["address"]),
@@ -172,7 +180,7 @@
     )
 
 
-def _moved_proxy(handle: ProxyHandle, ready: Mapping[str, str]) -> ProxyHandle:
+def _proxy_with_addresses(handle: ProxyHandle, ready: Mapping[str, str]) -> ProxyHandle:
     return replace(
         handle,
         address=Address.parse(ready["address"]),
--- a/packages/load/src/dogwoodspool_load/final_read.py
+++ b/packages/load/src/dogwoodspool_load/final_read.py
@@ -1,4 +1,4 @@
-"""Prepare the tables of a run, and read them past the proxies after it."""
+"""Create the tables of a run, and read them directly from the primaries after it."""
 
 import time
 
@@ -6,7 +6,7 @@
 from dogwoodspool_common import Phase
 from dogwoodspool_testbed import Deployment, TestbedError
 
-from .const import SETTLE_SECONDS
+from .const import FINAL_READ_TIMEOUT_SECONDS
 from .errors import LoadError
 from .models import GroupFinal, Table
 from .rows import CREATE_TABLES, final_row, final_statement
@@ -35,7 +35,8 @@
     """Read every group's tables from its primary.
 
     Raises:
-        LoadError: a group had no primary that answers within the settling time.
+        LoadError: a group's primary could not be read within
+            ``FINAL_READ_TIMEOUT_SECONDS``.
     """
     return [_read_group(deployment, group) for group in deployment.shape.groups]
 
@@ -55,14 +56,15 @@
 
 
 def _read_group(deployment: Deployment, group: str) -> GroupFinal:
-    deadline = time.monotonic() + SETTLE_SECONDS
+    deadline = time.monotonic() + FINAL_READ_TIMEOUT_SECONDS
     while True:
         try:
             return _read_once(deployment, group)
         except (pymysql.MySQLError, TestbedError, LoadError) as error:
             if time.monotonic() > deadline:
                 raise LoadError(
-                    f"{group} cannot be read in the end: {error}"
+                    f"final read of group {group!r} failed for "
+                    f"{FINAL_READ_TIMEOUT_SECONDS:g} s: {error}"
                 ) from error
             time.sleep(POLL_SECONDS)
 
--- a/packages/load/src/dogwoodspool_load/gaps.py
+++ b/packages/load/src/dogwoodspool_load/gaps.py
@@ -1,4 +1,4 @@
-"""Work out failover gaps from acknowledgements of writes."""
+"""Compute failover gaps from acknowledgements of writes."""
 
 import statistics
 from collections import defaultdict
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverGap:
-    """One change of primary.
+    """Gap in write availability of one change of primary.
 
-    A killed primary acknowledges nothing more, so its gap runs from its end to
-    the first acknowledgement of a write sent after that. A planned change lets the
-    old primary go on until it is released, so its gap is the longest pause between
-    two acknowledgements.
+    A killed primary acknowledges no further writes, so that the gap of a failover
+    runs from the kill to the first acknowledgement of a write sent after it. In a
+    switchover the old primary accepts writes until it is released, so that the gap
+    is the longest pause between two acknowledgements.
 
     Attributes:
-        gap_ms: at whichever proxy acknowledged first.
-        slowest_proxy_ms: at the proxy whose own gap was longest.
-        phases_ms: ends of control's phases, from its detection on; a phase that
-            control did not log is missing.
+        gap_ms: gap over the acknowledgements of all proxies.
+        slowest_proxy_ms: gap at the proxy with the longest gap.
+        phases_ms: milliseconds from control's detection to the end of each phase;
+            a phase that control did not log is missing.
         primary: the new primary.
     """
 
@@ -36,16 +36,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledged:
-    """One acknowledged write, in monotonic seconds."""
+class AcknowledgedWrite:
+    """One acknowledged write; times are monotonic seconds."""
 
     proxy: str
     sent_at: float
     answered_at: float
 
 
-def summary_of(gaps: Sequence[FailoverGap]) -> dict[str, Any]:
-    """Return median and worst of repeated changes of primary, with each one."""
+def summarize_gaps(gaps: Sequence[FailoverGap]) -> dict[str, Any]:
+    """Return median and worst gap of repeated changes of primary, and every gap."""
     gap = [one.gap_ms for one in gaps]
     slowest = [one.slowest_proxy_ms for one in gaps]
     return {
@@ -70,24 +70,27 @@
     }
 
 
-def first_after(
-    acknowledged: Sequence[Acknowledged], struck_at: float
+def first_acknowledgements(
+    acknowledged: Sequence[AcknowledgedWrite], fault_at: float
 ) -> dict[str, float]:
-    """Return seconds to the first acknowledgement, per proxy and at any."""
+    """Return seconds to the first acknowledgement, per proxy and over all proxies."""
     first: dict[str, float] = {}
     for one in acknowledged:
-        if one.sent_at <= struck_at:
+        if one.sent_at <= fault_at:
             continue
         for name in (one.proxy, ANY_PROXY):
-            gap = one.answered_at - struck_at
+            gap = one.answered_at - fault_at
             first[name] = min(first.get(name, gap), gap)
     return first
 
 
 def longest_pauses(
-    acknowledged: Sequence[Acknowledged], struck_at: float
+    acknowledged: Sequence[AcknowledgedWrite], fault_at: float
 ) -> dict[str, float]:
-    """Return the longest pause since the strike in seconds, per proxy and at any."""
+    """Return the longest pause that ended after the fault, per proxy and over all.
+
+    Pauses are in seconds.
+    """
     times = defaultdict(list)
     for one in acknowledged:
         for name in (one.proxy, ANY_PROXY):
@@ -97,12 +100,12 @@
         each.sort()
         pairs = zip(each, each[1:], strict=False)
         pauses[name] = max(
-            (later - earlier for earlier, later in pairs if later > struck_at),
+            (later - earlier for earlier, later in pairs if later > fault_at),
             default=0.0,
         )
     return pauses
 
 
 def milliseconds(seconds: float) -> float:
-    """Return seconds as milliseconds, to a tenth."""
+    """Convert seconds to milliseconds, rounded to a tenth."""
     return round(seconds * MILLISECONDS, 1)
--- a/packages/load/src/dogwoodspool_load/history.py
+++ b/packages/load/src/dogwoodspool_load/history.py
@@ -17,7 +17,8 @@
 
     All callers of a run are threads of one process, so that their times come from
     one monotonic clock. An invocation is recorded before its statement is sent
-    and an answer after it came: the recorded interval holds the real one.
+    and an answer after it was received: the recorded interval contains the real
+    one.
     """
 
     def __init__(self, path: Path) -> None:
@@ -31,7 +32,7 @@
             self._file.write(line)
 
     def close(self) -> None:
-        """Write what is buffered."""
+        """Flush buffered events and close the file."""
         self._file.close()
 
 
@@ -45,7 +46,7 @@
     """Read a recorded history.
 
     Raises:
-        HistoryError: with the number of the first line that is no event.
+        HistoryError: a line is not an event; the message has its line number.
     """
     events = []
     with path.open(encoding="utf-8") as lines:
--- a/packages/load/src/dogwoodspool_load/main.py
+++ b/packages/load/src/dogwoodspool_load/main.py
@@ -44,14 +44,14 @@
 from .runner import RunPlan, run_load
 from .schedule import read_schedule
 from .settings import LoadSettings
-from .shapes import adapted, deployment_named
+from .shapes import adapt_deployment, get_deployment
 
 EXIT_VIOLATION = 1
 EXIT_FAILED = 3
 
 
 def main() -> int:
-    """Run once."""
+    """Run the load and return the exit status."""
     settings = read_settings(__doc__ or "", LoadSettings)
     set_up_logging(PROGRAM, settings.deployment, "INFO")
     try:
@@ -69,7 +69,7 @@
 
 
 def print_result(result: dict[str, Any], folder: Path) -> None:
-    """Print what a run showed."""
+    """Print the result of a run."""
     for kind, figures in result["kinds"].items():
         print(f"{kind}: {figures}")
     print(f"replica share of reads: {result['replica_share']}")
@@ -83,11 +83,13 @@
 
 def _run(settings: LoadSettings) -> dict[str, Any]:
     faults = read_schedule(settings.faults)
-    wanted = adapted(deployment_named(settings.deployment), settings.statement_ms)
+    target = adapt_deployment(
+        get_deployment(settings.deployment), settings.statement_ms
+    )
     settings.out.mkdir(parents=True, exist_ok=True)
     plan = RunPlan(
         name=settings.deployment,
-        mix=wanted.mix,
+        mix=target.mix,
         seconds=settings.seconds,
         rate=settings.rate,
         callers=settings.callers,
@@ -95,14 +97,16 @@
         deadline_ms=settings.deadline_ms,
         seed=settings.seed,
     )
-    with Deployment(wanted.shape) as deployment:
+    with Deployment(target.shape) as deployment:
         create_tables(deployment)
         outcome = run_load(deployment, plan, settings.out)
-    return write_run(outcome, settings.out, "dogwoodspool-load " + _shown_arguments())
+    return write_run(
+        outcome, settings.out, "dogwoodspool-load " + _arguments_without_out()
+    )
 
 
-def _shown_arguments() -> str:
-    """Return the arguments without the folder, which is the user's own."""
+def _arguments_without_out() -> str:
+    """Return the arguments without ``--out``, whose path is private to the machine."""
     arguments = sys.argv[1:]
     if "--out" in arguments:
         at = arguments.index("--out")
--- a/packages/load/src/dogwoodspool_load/mixes.py
+++ b/packages/load/src/dogwoodspool_load/mixes.py
@@ -1,4 +1,4 @@
-"""Mixes of requests: what callers of each deployment ask for, and how often."""
+"""Request mixes: kinds of requests of each deployment's callers and their weights."""
 
 import random
 from collections.abc import Sequence
@@ -10,15 +10,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KindOfRequest:
-    """One kind of request and its part in a mix.
+class RequestProfile:
+    """One kind of request and its weight in a mix.
 
     Attributes:
-        weight: part of the mix, relative to the other weights.
+        weight: weight in the mix, relative to the other weights.
         rows_written: rows that it writes; 0 for a read; 2 is a transaction.
-        is_idempotent: stated to the proxy; such a write carries no request id.
-        max_age_ms: age that the read accepts; None reads within the session.
-        reads_others: reads another caller's room, not the own one.
+        is_idempotent: sent to the proxy as a request property; such a write
+            carries no request id.
+        max_age_ms: maximum age that the read accepts; None reads within the
+            session.
+        reads_others: reads the room of a random caller of the group instead of
+            the caller's own room.
     """
 
     kind: RequestKind
@@ -32,24 +35,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """What a caller sends next.
+    """A request that a caller sends next.
 
     Attributes:
-        name: unique name; tag of the rows written and marker of a read.
-        ends_in_rollback: the transaction is rolled back on purpose.
+        name: unique name; tag of the rows written, or marker of a read.
+        ends_in_rollback: the caller rolls the transaction back instead of
+            committing it.
     """
 
-    kind: KindOfRequest
+    profile: RequestProfile
     name: str
     room: str
     ends_in_rollback: bool = False
 
 
 CHAT_MIX: Final = (
-    KindOfRequest(RequestKind.CHAT_LINE, Table.LINES, 20, rows_written=1),
-    KindOfRequest(RequestKind.INBOX, Table.LINES, 50),
-    KindOfRequest(RequestKind.ORDER, Table.PAIRS, 5, rows_written=2),
-    KindOfRequest(
+    RequestProfile(RequestKind.CHAT_LINE, Table.LINES, 20, rows_written=1),
+    RequestProfile(RequestKind.INBOX, Table.LINES, 50),
+    RequestProfile(RequestKind.ORDER, Table.PAIRS, 5, rows_written=2),
+    RequestProfile(
         RequestKind.ORDER_LOOKUP,
         Table.PAIRS,
         25,
@@ -58,13 +62,13 @@
     ),
 )
 FLOW_MIX: Final = (
-    KindOfRequest(RequestKind.TRIAL_RECORD, Table.LINES, 12, rows_written=1),
-    KindOfRequest(
+    RequestProfile(RequestKind.TRIAL_RECORD, Table.LINES, 12, rows_written=1),
+    RequestProfile(
         RequestKind.REPORT, Table.REPORTS, 5, rows_written=1, is_idempotent=True
     ),
-    KindOfRequest(RequestKind.ORDER, Table.PAIRS, 3, rows_written=2),
-    KindOfRequest(RequestKind.BROWSE, Table.LINES, 50),
-    KindOfRequest(
+    RequestProfile(RequestKind.ORDER, Table.PAIRS, 3, rows_written=2),
+    RequestProfile(RequestKind.BROWSE, Table.LINES, 50),
+    RequestProfile(
         RequestKind.BROWSE_AGED,
         Table.PAIRS,
         30,
@@ -74,15 +78,15 @@
 )
 
 
-def reads_only(mix: Sequence[KindOfRequest]) -> tuple[KindOfRequest, ...]:
-    """Return the reads of a mix."""
+def reads_only(mix: Sequence[RequestProfile]) -> tuple[RequestProfile, ...]:
+    """Return the requests of a mix that only read."""
     return tuple(kind for kind in mix if not kind.rows_written)
 
 
-def with_weight_of_writes(
-    mix: Sequence[KindOfRequest], factor: float
-) -> tuple[KindOfRequest, ...]:
-    """Return a mix whose writes weigh so many times as much."""
+def scale_write_weight(
+    mix: Sequence[RequestProfile], factor: float
+) -> tuple[RequestProfile, ...]:
+    """Return a mix with the weight of its writes multiplied by a factor."""
     return tuple(
         replace(kind, weight=kind.weight * factor) if kind.rows_written else kind
         for kind in mix
@@ -90,16 +94,16 @@
 
 
 class RequestPlanner:
-    """Choose a caller's requests, the same ones for the same seed.
+    """Choose a caller's requests, deterministically for a seed.
 
     Args:
-        caller: name of the caller, which names its rooms.
+        caller: name of the caller, which prefixes the names of its rooms.
         others: names of the callers of the same group.
     """
 
     def __init__(
         self,
-        mix: Sequence[KindOfRequest],
+        mix: Sequence[RequestProfile],
         caller: str,
         others: Sequence[str],
         seed: int,
@@ -127,6 +131,6 @@
         return PlannedRequest(kind, name, room, rolls_back)
 
     def _room(self, owner: str) -> str:
-        # Callers write at about the same pace, so that the own count tells about
-        # where another caller writes now.
+        # Callers write at about the same rate, so that this caller's own count of
+        # writes approximates the room that another caller writes to now.
         return f"{owner}-{self._writes // WRITES_PER_ROOM}"
--- a/packages/load/src/dogwoodspool_load/models.py
+++ b/packages/load/src/dogwoodspool_load/models.py
@@ -7,7 +7,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a caller asks for."""
+    """Kinds of requests that callers send."""
 
     CHAT_LINE = "chat-line"
     INBOX = "inbox"
@@ -28,10 +28,10 @@
 
 
 class Outcome(StrEnum):
-    """How one attempt ended for its caller.
+    """Outcome of one attempt as its caller sees it.
 
-    ``NOT_SENT`` is an attempt whose statement never left the caller;
-    ``ABORTED`` is a transaction that ended without a commit being sent.
+    ``NOT_SENT`` is an attempt whose statement was never sent; ``ABORTED`` is a
+    transaction that ended without a commit being sent.
     """
 
     OK = "ok"
@@ -43,7 +43,7 @@
 
 
 class Rule(StrEnum):
-    """What must hold in every history."""
+    """Rules that must hold in every history."""
 
     READ_YOUR_WRITES = "read-your-writes"
     STATED_AGE = "stated-age"
@@ -57,10 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RowSeen:
-    """One row as an answer brought it.
+    """One row of an answer.
 
     Attributes:
-        marker: the reader's own mark, repeated by the database in each row.
+        marker: marker of the read that the answer belongs to; the statement makes the
+            database return it in each row.
         total: rows of the whole answer as the database counted them in the same
             statement.
     """
@@ -75,12 +76,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """A caller is about to send one attempt of a request.
+    """Start of one attempt of a request, recorded before it is sent.
 
     Attributes:
         at: monotonic seconds.
-        session: name of the caller's session; a new one begins where the caller
-            lost its token.
+        session: name of the caller's session; a new session begins when the caller
+            has lost its token or the proxy refused it.
         request: name of the request, the same for all its attempts; also the
             tag of the rows that it writes and the marker of a read.
         rows_written: rows that the request writes; 0 for a read.
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An attempt ended.
+    """End of one attempt of a request.
 
     Attributes:
         position: the group's position in the session's token after a write.
@@ -122,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalRow:
-    """One row as the primary holds it after the run."""
+    """One row that the primary stores after the run."""
 
     table: Table
     room: str
@@ -134,10 +135,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupFinal:
-    """What a database group holds after the run.
+    """State of a database group after the run.
 
     Attributes:
-        term_starts: where each term branched off, as control committed it.
+        term_starts: start position of each term, as committed by control.
     """
 
     group: str
@@ -148,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that a history breaks."""
+    """A violation of a rule by a history."""
 
     rule: Rule
     group: str
@@ -158,20 +159,20 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One attempt with its answer; without one it is unknown."""
+    """One attempt with its answer; without an answer its outcome is unknown."""
 
     invocation: Invocation
     answer: Answer | None = None
 
     @property
     def outcome(self) -> Outcome:
-        """How the attempt ended."""
+        """Outcome of the attempt."""
         return self.answer.outcome if self.answer else Outcome.UNKNOWN
 
 
 @dataclass(slots=True)
 class WriteRequest:
-    """All attempts of one write, in their order."""
+    """All attempts of one write in the order of their invocations."""
 
     attempts: list[Operation] = field(default_factory=list)
 
@@ -182,7 +183,7 @@
 
     @property
     def acknowledged(self) -> Operation | None:
-        """The attempt that was answered as done, if there is one."""
+        """The first attempt that was acknowledged, if any."""
         for attempt in self.attempts:
             if attempt.outcome is Outcome.OK:
                 return attempt
@@ -190,7 +191,7 @@
 
     @property
     def must_be_absent(self) -> bool:
-        """Whether no attempt may have had an effect."""
+        """Whether the outcomes exclude that any attempt had an effect."""
         return all(
             attempt.outcome not in (Outcome.OK, Outcome.UNKNOWN)
             for attempt in self.attempts
--- a/packages/load/src/dogwoodspool_load/overhead.py
+++ b/packages/load/src/dogwoodspool_load/overhead.py
@@ -1,4 +1,4 @@
-"""Measure what a proxy adds to a statement, against going straight to a server."""
+"""Measure the latency that a proxy adds to statements sent directly to a server."""
 
 import time
 from collections.abc import Callable
@@ -26,10 +26,10 @@
 
 
 def measure_overhead(deployment: Deployment, count: int) -> dict[str, Any]:
-    """Return latencies of one caller's statements by their way, in milliseconds.
+    """Return one caller's statement latencies per case, in milliseconds.
 
-    The ways take turns, so that whatever else the machine does strikes all of
-    them alike.
+    The cases are interleaved, so that other load on the machine affects all of
+    them equally.
     """
     group = deployment.shape.groups[0]
     primary = deployment.primary(group)
@@ -42,33 +42,35 @@
     direct = deployment.connect_directly(primary)
     cases = (
         _Case("read, straight to the primary", direct, _read),
-        _Case("read with max_age_ms, through a proxy", through, _aged_read),
+        _Case("read with max_age_ms, through a proxy", through, _read_with_max_age),
         _Case("read in its session, through a proxy", through, _read),
         _Case("write, straight to the primary", direct, _write),
         _Case("write, through a proxy", through, _write),
-        _Case("write with a request id, through a proxy", through, _write_once),
+        _Case(
+            "write with a request id, through a proxy", through, _write_with_request_id
+        ),
     )
     histograms = {case.name: new_histogram() for case in cases}
     for number in range(count):
         for case in cases:
-            _time(case, number, histograms[case.name])
+            _record_latency(case, number, histograms[case.name])
     through.close()
     direct.close()
     return {name: percentiles_ms(one) for name, one in histograms.items()}
 
 
-def added_ms(latencies: dict[str, Any]) -> dict[str, float]:
-    """Return the medians' differences against the direct way."""
+def added_latency_ms(latencies: dict[str, Any]) -> dict[str, float]:
+    """Return the differences of the medians from those without a proxy, in ms."""
     added = {}
     for name, figures in latencies.items():
         if "through" in name:
-            straight = f"{name.split()[0].rstrip(',')}, straight to the primary"
-            base = latencies[straight]["p50_ms"]
+            direct_case = f"{name.split()[0].rstrip(',')}, straight to the primary"
+            base = latencies[direct_case]["p50_ms"]
             added[name] = round(figures["p50_ms"] - base, 2)
     return added
 
 
-def _time(case: _Case, number: int, histogram: HdrHistogram) -> None:
+def _record_latency(case: _Case, number: int, histogram: HdrHistogram) -> None:
     began_at = time.monotonic()
     with case.connection.cursor() as cursor:
         cursor.execute(case.statement(number))
@@ -82,7 +84,7 @@
     return read_statement(Table.LINES, ROOM, f"overhead.{number}")
 
 
-def _aged_read(number: int) -> str:
+def _read_with_max_age(number: int) -> str:
     return with_properties(_read(number), max_age_ms=MAX_AGE_MS)
 
 
@@ -91,6 +93,6 @@
     return write_statement(Table.REPORTS, f"{ROOM}-writes", tag)
 
 
-def _write_once(number: int) -> str:
+def _write_with_request_id(number: int) -> str:
     sql = _write(number)
     return with_properties(sql, request_id=f"overhead-{time.monotonic_ns()}")
--- a/packages/load/src/dogwoodspool_load/plot.py
+++ b/packages/load/src/dogwoodspool_load/plot.py
@@ -8,7 +8,7 @@
 import matplotlib
 from dogwoodspool_common.const import MILLISECONDS
 
-from .faults import FaultDone
+from .faults import InjectedFault
 from .models import Outcome
 from .statistics import Sample
 
@@ -25,12 +25,12 @@
     path: Path,
     title: str,
     samples: Sequence[Sample],
-    faults: Sequence[FaultDone],
+    faults: Sequence[InjectedFault],
     begins_at: float,
 ) -> None:
-    """Write a PNG with one point for each request.
+    """Write a scatter plot with one point for each request.
 
-    The plot counts its seconds from ``begins_at``, a monotonic time.
+    The time axis is in seconds from ``begins_at``, a monotonic time.
     """
     figure, axes = pyplot.subplots(figsize=FIGURE_INCHES)
     points: dict[str, list[Sample]] = defaultdict(list)
@@ -45,10 +45,10 @@
             marker="x" if label == "not ok" else "o",
             label=label,
         )
-    for done in faults:
-        at = done.at - begins_at
+    for injected in faults:
+        at = injected.at - begins_at
         axes.axvline(at, color="black", linestyle="--", linewidth=1)
-        label = f"{done.fault.action} {done.detail}"
+        label = f"{injected.fault.action} {injected.detail}"
         axes.text(at, 1, label, rotation=90, transform=axes.get_xaxis_transform())
     axes.set_yscale("log")
     axes.set_xlabel("seconds")
--- a/packages/load/src/dogwoodspool_load/process_usage.py
+++ b/packages/load/src/dogwoodspool_load/process_usage.py
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process used over some time.
+    """Resources that a process used over a period.
 
     Attributes:
-        cpu_percent: of one core.
-        rss_bytes: resident memory at the end.
-        bytes_per_second: traffic, where it was counted.
+        cpu_percent: processor time in percent of one core.
+        rss_bytes: resident memory at the end of the period.
+        bytes_per_second: traffic; 0 if it was not counted.
     """
 
     seconds: float
@@ -31,28 +31,29 @@
     bytes_per_second: float
 
 
-def measure_usage(pid: int, seconds: float, counted: Callable[[], int]) -> Usage:
-    """Watch a process for some seconds.
+def measure_usage(pid: int, seconds: float, count_bytes: Callable[[], int]) -> Usage:
+    """Measure the resources that a process uses over a period.
 
     Args:
         pid: the process.
-        seconds: how long.
-        counted: bytes of traffic until now.
+        seconds: length of the period.
+        count_bytes: returns the bytes of traffic so far.
     """
-    cpu, traffic, began_at = cpu_seconds(pid), counted(), time.monotonic()
+    cpu, traffic, began_at = cpu_seconds(pid), count_bytes(), time.monotonic()
     time.sleep(seconds)
     elapsed = time.monotonic() - began_at
     return Usage(
         seconds=round(elapsed, 2),
         cpu_percent=round(PERCENT * (cpu_seconds(pid) - cpu) / elapsed, 2),
         rss_bytes=resident_bytes(pid),
-        bytes_per_second=round((counted() - traffic) / elapsed, 1),
+        bytes_per_second=round((count_bytes() - traffic) / elapsed, 1),
     )
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process until now, in seconds."""
-    # The name may hold spaces and brackets; the fields begin after the last one.
+    """Return the processor time that a process has used so far, in seconds."""
+    # The program's name may contain spaces and parentheses, so that the fields are
+    # counted from the last closing parenthesis.
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[FIELD_UTIME]) + int(fields[FIELD_STIME])) / TICKS_PER_SECOND
 
--- a/packages/load/src/dogwoodspool_load/proxy_slope.py
+++ b/packages/load/src/dogwoodspool_load/proxy_slope.py
@@ -25,22 +25,24 @@
 from .relay import CountingRelay
 
 PROXY_GROUPS: Final = (1, 3, 9)
-NOWHERE: Final = Address("127.0.0.1", 9)
+UNUSED_ADDRESS: Final = Address("127.0.0.1", 9)
 
 
 def measure_proxy() -> list[dict[str, Any]]:
     """Measure an idle proxy against the number of groups and servers."""
-    return [_proxy_at(groups) for groups in PROXY_GROUPS]
+    return [_measure_at(groups) for groups in PROXY_GROUPS]
 
 
-def _proxy_at(groups: int) -> dict[str, Any]:
+def _measure_at(groups: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory(prefix="dogwoodspool-slopes-") as folder:
         processes = ProcessTable(Path(folder))
         relays: list[CountingRelay] = []
         control: FakeControl | None = None
         try:
             proxy_http: list[Address] = []
-            announced = CountingRelay(lambda: proxy_http[0] if proxy_http else NOWHERE)
+            announced = CountingRelay(
+                lambda: proxy_http[0] if proxy_http else UNUSED_ADDRESS
+            )
             announced.set_up()
             messages = _start_standins(
                 processes, Path(folder), groups, relays, announced.address
--- a/packages/load/src/dogwoodspool_load/relay.py
+++ b/packages/load/src/dogwoodspool_load/relay.py
@@ -1,4 +1,4 @@
-"""A relay that counts the bytes between two ends."""
+"""A TCP relay that counts the bytes that it forwards."""
 
 import socket
 import threading
@@ -8,14 +8,15 @@
 from dogwoodspool_common import Address
 
 CHUNK_BYTES: Final = 65_536
-CONNECT_SECONDS: Final = 2.0
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
 
 
 class CountingRelay:
-    """Pass connections on to a target and count the bytes both ways.
+    """Forward connections to a target and count the bytes in both directions.
 
     Args:
-        target: asked at each connection, so that it may move.
+        target: returns the target's address; called for each connection, since the
+            address may change.
     """
 
     def __init__(self, target: Callable[[], Address]) -> None:
@@ -27,21 +28,21 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address that the relay listens on."""
         return Address("127.0.0.1", int(self._listener.getsockname()[1]))
 
     @property
     def count(self) -> int:
-        """Bytes passed on until now, both ways together."""
+        """Bytes forwarded so far, both directions together."""
         with self._lock:
             return self._count
 
     def set_up(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         threading.Thread(target=self._accept, daemon=True).start()
 
     def unload(self) -> None:
-        """Close every connection."""
+        """Close the listener and every connection."""
         self._listener.close()
         with self._lock:
             sockets = list(self._sockets)
@@ -51,33 +52,33 @@
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return  # Closed by ``unload``.
             try:
                 target = self._target()
-                far = socket.create_connection(
-                    (target.host, target.port), CONNECT_SECONDS
+                upstream = socket.create_connection(
+                    (target.host, target.port), CONNECT_TIMEOUT_SECONDS
                 )
             except OSError:
-                near.close()
+                client.close()
                 continue
-            far.settimeout(None)
-            for one in (near, far):
+            upstream.settimeout(None)
+            for one in (client, upstream):
                 one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with self._lock:
-                self._sockets += [near, far]
-            for source, sink in ((near, far), (far, near)):
+                self._sockets += [client, upstream]
+            for source, destination in ((client, upstream), (upstream, client)):
                 threading.Thread(
-                    target=self._pump, args=(source, sink), daemon=True
+                    target=self._forward, args=(source, destination), daemon=True
                 ).start()
 
-    def _pump(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, destination: socket.socket) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 with self._lock:
                     self._count += len(data)
-                sink.sendall(data)
-            sink.shutdown(socket.SHUT_WR)
+                destination.sendall(data)
+            destination.shutdown(socket.SHUT_WR)
         except OSError:
-            sink.close()
+            destination.close()
--- a/packages/load/src/dogwoodspool_load/results.py
+++ b/packages/load/src/dogwoodspool_load/results.py
@@ -1,4 +1,4 @@
-"""Turn a run's outcome into its result, logs and plot."""
+"""Write the result, latency logs and plot of a run."""
 
 import json
 from collections import Counter
@@ -18,8 +18,8 @@
 MAX_VIOLATIONS_SHOWN: Final = 20
 
 
-def result_of(outcome: RunOutcome) -> dict[str, Any]:
-    """Return a run's result, for JSON."""
+def build_result(outcome: RunOutcome) -> dict[str, Any]:
+    """Return the result of a run as JSON data."""
     plan, samples = outcome.plan, outcome.statistics.samples
     return {
         "name": plan.name,
@@ -35,20 +35,20 @@
         "replica_share": replica_share(outcome),
         "faults": [
             {
-                "at": round(done.at - outcome.begins_at, 3),
-                "fault": str(done.fault),
-                "detail": done.detail,
+                "at": round(injected.at - outcome.begins_at, 3),
+                "fault": str(injected.fault),
+                "detail": injected.detail,
             }
-            for done in outcome.faults
+            for injected in outcome.faults
         ],
-        "violations": violations_of(outcome.violations),
+        "violations": summarize_violations(outcome.violations),
     }
 
 
 def goodput(outcome: RunOutcome) -> float:
-    """Return requests per second that were done within their deadline.
+    """Return requests per second that succeeded within their deadline.
 
-    The time counts from when a request was due.
+    The latency counts from the time at which a request was due.
     """
     plan = outcome.plan
     limit = plan.deadline_ms / MILLISECONDS if plan.deadline_ms else None
@@ -67,7 +67,7 @@
     return round(outcome.reads_by["replica"] / total, 4) if total else None
 
 
-def violations_of(violations: Sequence[Violation]) -> dict[str, Any]:
+def summarize_violations(violations: Sequence[Violation]) -> dict[str, Any]:
     """Return counts by rule and the first violations in full."""
     return {
         "by_rule": dict(Counter(str(one.rule) for one in violations)),
@@ -76,8 +76,8 @@
 
 
 def write_run(outcome: RunOutcome, folder: Path, command: str) -> dict[str, Any]:
-    """Write result, HDR logs and plot of a run; return the result."""
-    result = {"command": command, **result_of(outcome)}
+    """Write the result, HdrHistogram logs and plot of a run; return the result."""
+    result = {"command": command, **build_result(outcome)}
     text = json.dumps(result, indent=1) + "\n"
     (folder / FILE_RESULTS).write_text(text)
     outcome.statistics.write_logs(folder, outcome.plan.seconds)
--- a/packages/load/src/dogwoodspool_load/rows.py
+++ b/packages/load/src/dogwoodspool_load/rows.py
@@ -1,4 +1,4 @@
-"""Statements of a run, and rows that prove their own wholeness."""
+"""Statements of a run, and rows with a checksum over their own columns."""
 
 import zlib
 from collections.abc import Sequence
@@ -21,20 +21,20 @@
 
 
 def body_of(tag: str, part: int) -> str:
-    """Return the text that a row carries."""
+    """Return the body of a row."""
     return f"text {part} of {tag}"
 
 
 def checksum_of(tag: str, part: int, body: str) -> str:
-    """Return the checksum that a row carries over its other columns."""
+    """Return the checksum of a row over its tag, part and body."""
     return f"{zlib.crc32(f'{tag}/{part}/{body}'.encode()):08x}"
 
 
 def write_statement(table: Table, room: str, tag: str, part: int = 1) -> str:
-    """Return the write of one row.
+    """Return the statement that writes one row.
 
-    A report replaces its own row, so that running it twice has one effect; the
-    other tables would show a second run as a second row.
+    A report replaces its own row, so that running it twice has the same effect as
+    running it once; in the other tables a second run shows as a second row.
     """
     verb = "REPLACE" if table is Table.REPORTS else "INSERT"
     body = body_of(tag, part)
@@ -45,7 +45,7 @@
 
 
 def read_statement(table: Table, room: str, marker: str) -> str:
-    """Return the read of a room; each row repeats marker and row count."""
+    """Return the statement that reads a room; each row has marker and row count."""
     return (
         f"SELECT '{marker}' AS marker, tag, part, body, checksum, "
         f"(SELECT COUNT(*) FROM {table} WHERE room = '{room}') AS total "
@@ -54,25 +54,25 @@
 
 
 def final_statement(table: Table) -> str:
-    """Return the read of a whole table."""
+    """Return the statement that reads a whole table."""
     return f"SELECT room, tag, part, body, checksum FROM {table} ORDER BY id"
 
 
 def with_properties(sql: str, **properties: object) -> str:
-    """Put per-request properties before a statement; None leaves one out.
+    """Prefix a statement with per-request properties; those of value None are omitted.
 
     Example:
         >>> with_properties("SELECT 1", session="abc", max_age_ms=None)
         "/*session='abc'*/ SELECT 1"
     """
-    stated = [
+    assignments = [
         f"{name}='{value}'" for name, value in properties.items() if value is not None
     ]
-    return f"/*{','.join(stated)}*/ {sql}" if stated else sql
+    return f"/*{','.join(assignments)}*/ {sql}" if assignments else sql
 
 
 def row_seen(row: Sequence[Any]) -> RowSeen:
-    """Build a row of an answer."""
+    """Convert a row of an answer."""
     marker, tag, part, body, checksum, total = row
     return RowSeen(
         str(marker), str(tag), int(part), str(body), str(checksum), int(total)
@@ -80,6 +80,6 @@
 
 
 def final_row(table: Table, row: Sequence[Any]) -> FinalRow:
-    """Build a row of the final read."""
+    """Convert a row of the final read."""
     room, tag, part, body, checksum = row
     return FinalRow(table, str(room), str(tag), int(part), str(body), str(checksum))
--- a/packages/load/src/dogwoodspool_load/runner.py
+++ b/packages/load/src/dogwoodspool_load/runner.py
@@ -1,4 +1,4 @@
-"""Run callers and faults against a deployment, and check what they saw."""
+"""Run callers and faults against a deployment, and check the recorded history."""
 
 import re
 import threading
@@ -19,10 +19,10 @@
 from .caller import Caller
 from .checker import check_history
 from .const import FILE_HISTORY, MAX_ATTEMPTS, ROAM_PROBABILITY
-from .faults import FaultDone, FaultInjector
+from .faults import FaultInjector, InjectedFault
 from .final_read import read_final
 from .history import HistoryRecorder, read_history
-from .mixes import KindOfRequest, RequestPlanner
+from .mixes import RequestPlanner, RequestProfile
 from .models import GroupFinal, Violation
 from .schedule import ScheduledFault
 from .statistics import RunStatistics
@@ -33,16 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """What one run does.
+    """Parameters of one run.
 
     Attributes:
         rate: requests per second of all callers together; 0 is a closed loop.
-        proxies: callers use only the first so many; None for all.
-        seed: of every caller's choices.
+        proxies: number of proxies, from the first on, that callers use; None for
+            all.
+        seed: seed of the random choices of every caller.
     """
 
     name: str
-    mix: Sequence[KindOfRequest]
+    mix: Sequence[RequestProfile]
     seconds: float
     rate: float
     callers: int
@@ -56,17 +57,17 @@
 
 @dataclass(slots=True)
 class RunOutcome:
-    """What one run showed.
+    """Outcome of one run.
 
     Attributes:
-        begins_at: monotonic seconds at its begin.
+        begins_at: monotonic seconds at its start.
         reads_by: reads served by replicas and by primaries during the run.
     """
 
     plan: RunPlan
     begins_at: float
     statistics: RunStatistics
-    faults: list[FaultDone]
+    faults: list[InjectedFault]
     reads_by: Counter[str]
     violations: list[Violation] = field(default_factory=list)
 
@@ -75,18 +76,18 @@
     deployment: Deployment,
     plan: RunPlan,
     folder: Path,
-    say: Callable[[str], None] = print,
+    report: Callable[[str], None] = print,
 ) -> RunOutcome:
     """Run callers and faults, then check the recorded history.
 
-    The tables must exist. Names of callers hold the plan's name, so that several
-    runs may follow each other on one deployment.
+    The tables must exist. Names of callers begin with the plan's name, so that
+    several runs can use one deployment one after the other.
     """
     path = folder / FILE_HISTORY
     recorder = HistoryRecorder(path)
     statistics = RunStatistics()
     stop = threading.Event()
-    done: list[FaultDone] = []
+    injected: list[InjectedFault] = []
     before = reads_served(deployment)
     callers = build_callers(deployment, plan, recorder, statistics)
     with ThreadPoolExecutor(len(callers) + 1, "caller") as executor:
@@ -96,17 +97,17 @@
         futures = [executor.submit(one.run, begins_at, stop) for one in callers]
         futures.append(
             executor.submit(
-                FaultInjector(deployment).run, plan.faults, begins_at, stop, done
+                FaultInjector(deployment).run, plan.faults, begins_at, stop, injected
             )
         )
-        _report_progress(plan, statistics, begins_at, say)
+        _report_progress(plan, statistics, begins_at, report)
         stop.set()
         for future in futures:
             future.result()
     recorder.close()
     reads_by = reads_served(deployment) - before
-    outcome = RunOutcome(plan, begins_at, statistics, done, reads_by)
-    # A deployment may hold rows of earlier runs; only this run's are checked.
+    outcome = RunOutcome(plan, begins_at, statistics, injected, reads_by)
+    # The tables may contain rows of earlier runs; only those of this run are checked.
     finals = [_rows_of_run(final, plan.name) for final in read_final(deployment)]
     outcome.violations = check_history(read_history(path), finals)
     return outcome
@@ -118,7 +119,7 @@
     recorder: HistoryRecorder,
     statistics: RunStatistics,
 ) -> list[Caller]:
-    """Return the callers of a run, spread over the groups in turn."""
+    """Return the callers of a run, assigned to the groups round robin."""
     groups = deployment.shape.groups
     names = [f"{plan.name}-{number}" for number in range(plan.callers)]
     interval = plan.callers / plan.rate if plan.rate else 0.0
@@ -146,13 +147,13 @@
 
 
 def reads_served(deployment: Deployment) -> Counter[str]:
-    """Return reads served by replicas and by primaries, over all proxies."""
+    """Return the reads served by replicas and by primaries, summed over all proxies."""
     served: Counter[str] = Counter()
     for proxy in deployment.proxies:
         try:
             page = deployment.metrics(proxy)
         except urllib3.exceptions.HTTPError:
-            continue  # A killed proxy has taken its counts with it.
+            continue  # The counters of a killed proxy are lost.
         for by, count in READS_SERVED.findall(page):
             served[by] += int(count)
     return served
@@ -162,7 +163,7 @@
     plan: RunPlan,
     statistics: RunStatistics,
     begins_at: float,
-    say: Callable[[str], None],
+    report: Callable[[str], None],
 ) -> None:
     seen = 0
     while (elapsed := time.monotonic() - begins_at) < plan.seconds:
@@ -171,7 +172,7 @@
         counts = Counter(str(sample.outcome) for sample in samples[seen:])
         seen = len(samples)
         shown = " ".join(f"{name}={count}" for name, count in sorted(counts.items()))
-        say(f"{plan.name} {time.monotonic() - begins_at:5.1f} s {shown}")
+        report(f"{plan.name} {time.monotonic() - begins_at:5.1f} s {shown}")
 
 
 def _rows_of_run(final: GroupFinal, name: str) -> GroupFinal:
--- a/packages/load/src/dogwoodspool_load/saturation.py
+++ b/packages/load/src/dogwoodspool_load/saturation.py
@@ -1,4 +1,4 @@
-"""Measure what one proxy serves at most, and what idle callers cost it."""
+"""Measure the maximum throughput of one proxy and its cost of idle callers."""
 
 import time
 from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
@@ -22,7 +22,7 @@
 
 
 def measure_saturation() -> dict[str, Any]:
-    """Measure statements a second and processor time per statement of one proxy."""
+    """Measure statements per second and processor time per statement of one proxy."""
     shape = DeploymentShape(
         failure_domains=("fd-a",),
         controls=1,
@@ -43,8 +43,8 @@
         pid = deployment.processes.pid(proxy.name)
         idle = measure_usage(pid, SETTLE_SECONDS, lambda: 0)
         for callers in SATURATION_CALLERS:
-            points.append(_saturate(proxy.address, pid, callers))
-        connections = [_with_idle_callers(deployment, one) for one in IDLE_CALLERS]
+            points.append(_measure_throughput(proxy.address, pid, callers))
+        connections = [_measure_idle_callers(deployment, one) for one in IDLE_CALLERS]
     return {
         "idle_cpu_percent": idle.cpu_percent,
         "points": points,
@@ -52,8 +52,8 @@
     }
 
 
-def _with_idle_callers(deployment: Deployment, callers: int) -> dict[str, Any]:
-    """Hold so many connections that have run one statement each."""
+def _measure_idle_callers(deployment: Deployment, callers: int) -> dict[str, Any]:
+    """Measure with idle connections open that have each run one statement."""
     proxy = deployment.proxies[0]
     pid = deployment.processes.pid(proxy.name)
     held = []
@@ -73,7 +73,7 @@
     return point
 
 
-def _saturate(address: Address, pid: int, callers: int) -> dict[str, Any]:
+def _measure_throughput(address: Address, pid: int, callers: int) -> dict[str, Any]:
     processes = min(SATURATION_PROCESSES, callers)
     shares = [len(range(n, callers, processes)) for n in range(processes)]
     cpu, began_at = cpu_seconds(pid), time.monotonic()
@@ -101,15 +101,17 @@
 
 
 def read_in_threads(host: str, port: int, callers: int) -> tuple[int, float]:
-    """Read one row over and over in so many threads; return count and seconds."""
+    """Read one row repeatedly in one thread per caller; return count and seconds."""
     began_at = time.monotonic()
     with ThreadPoolExecutor(callers) as executor:
-        futures = [executor.submit(_read_always, host, port) for _ in range(callers)]
+        futures = [
+            executor.submit(_read_until_deadline, host, port) for _ in range(callers)
+        ]
         count = sum(future.result() for future in futures)
     return count, time.monotonic() - began_at
 
 
-def _read_always(host: str, port: int) -> int:
+def _read_until_deadline(host: str, port: int) -> int:
     connection = pymysql.connect(
         host=host,
         port=port,
--- a/packages/load/src/dogwoodspool_load/schedule.py
+++ b/packages/load/src/dogwoodspool_load/schedule.py
@@ -1,4 +1,4 @@
-"""A schedule of faults, read from text."""
+"""Parse a schedule of faults from text."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class FaultAction(StrEnum):
-    """What can be broken, mended or ordered during a run."""
+    """Faults, repairs and commands that a schedule can contain."""
 
     KILL_PRIMARY = "kill-primary"
     FREEZE_PRIMARY = "freeze-primary"
@@ -26,21 +26,23 @@
     SILENCE = "silence"
 
 
-# Words after the action: a target, and for some an amount in milliseconds.
-_WORDS: Final[Mapping[FaultAction, int]] = {
+# Arguments after the action: a target, and for ``LAG`` also its milliseconds;
+# ``KILL_LEADER`` takes none.
+_ARGUMENT_COUNTS: Final[Mapping[FaultAction, int]] = {
     FaultAction.KILL_LEADER: 0,
     FaultAction.LAG: 2,
 }
-_DEFAULT_WORDS: Final = 1
-_WORDS_BEFORE: Final = 2
+_DEFAULT_ARGUMENT_COUNT: Final = 1
+_MIN_WORDS: Final = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """One fault and when it happens, in seconds from the run's begin.
+    """One fault and its time.
 
     Attributes:
-        target: a group, failure domain or process, as the action needs.
+        at: seconds from the start of the run.
+        target: the group, failure domain or process that the action applies to.
         amount_ms: milliseconds of lag.
     """
 
@@ -57,10 +59,10 @@
 
 
 def parse_schedule(text: str) -> tuple[ScheduledFault, ...]:
-    """Read faults, one a line or separated by semicolons.
+    """Parse faults, one per line or separated by semicolons.
 
     Raises:
-        ScheduleError: naming the fault that cannot be read.
+        ScheduleError: a fault cannot be parsed; the message quotes it.
 
     Example:
         >>> [str(fault) for fault in parse_schedule("3 kill-primary chat1; 5 lag a 9")]
@@ -72,7 +74,7 @@
 
 
 def read_schedule(text: str) -> tuple[ScheduledFault, ...]:
-    """Read a schedule from a file of that name, or from the text itself."""
+    """Read a schedule from the file that ``text`` names, or else from ``text``."""
     path = Path(text) if text and ";" not in text and " " not in text else None
     if path is not None and path.is_file():
         return parse_schedule(path.read_text())
@@ -81,26 +83,30 @@
 
 def _parse(part: str) -> ScheduledFault:
     words = part.split()
-    if len(words) < _WORDS_BEFORE:
-        raise ScheduleError(f"{part!r}: write SECONDS ACTION [TARGET] [MILLISECONDS]")
+    if len(words) < _MIN_WORDS:
+        raise ScheduleError(
+            f"{part!r}: expected SECONDS ACTION [TARGET] [MILLISECONDS]"
+        )
     at = _number(part, words[0], float)
     if words[1] not in tuple(FaultAction):
         known = ", ".join(FaultAction)
-        raise ScheduleError(f"{part!r}: no action {words[1]!r}; known are {known}")
+        raise ScheduleError(f"{part!r}: unknown action {words[1]!r}; known: {known}")
     action = FaultAction(words[1])
-    wanted = _WORDS.get(action, _DEFAULT_WORDS)
-    rest = words[_WORDS_BEFORE:]
-    if len(rest) != wanted:
-        raise ScheduleError(f"{part!r}: {action} takes {wanted} words after it")
-    amount = _number(part, rest[1], float) if len(rest) > 1 else 0.0
-    return ScheduledFault(at, action, rest[0] if rest else "", amount)
+    wanted = _ARGUMENT_COUNTS.get(action, _DEFAULT_ARGUMENT_COUNT)
+    arguments = words[_MIN_WORDS:]
+    if len(arguments) != wanted:
+        raise ScheduleError(
+            f"{part!r}: {action} takes {wanted} arguments, got {len(arguments)}"
+        )
+    amount = _number(part, arguments[1], float) if len(arguments) > 1 else 0.0
+    return ScheduledFault(at, action, arguments[0] if arguments else "", amount)
 
 
 def _number(part: str, word: str, convert: Callable[[str], float]) -> float:
     try:
         value = convert(word)
     except ValueError as error:
-        raise ScheduleError(f"{part!r}: {word!r} is no number") from error
+        raise ScheduleError(f"{part!r}: {word!r} is not a number") from error
     if value < 0:
         raise ScheduleError(f"{part!r}: {word!r} is negative")
     return value
--- a/packages/load/src/dogwoodspool_load/settings.py
+++ b/packages/load/src/dogwoodspool_load/settings.py
@@ -8,11 +8,11 @@
 
 
 class LoadSettings(BaseModel):
-    """What flags and environment variables say.
+    """Settings from flags and environment variables.
 
     Attributes:
         rate: requests per second of all callers together; 0 is a closed loop.
-        faults: a schedule, or the name of a file that holds one.
+        faults: a schedule, or the name of a file that contains one.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/packages/load/src/dogwoodspool_load/shapes.py
+++ b/packages/load/src/dogwoodspool_load/shapes.py
@@ -8,16 +8,16 @@
 
 from .const import DEFAULT_LAG_MS, DEFAULT_STATEMENT_MS
 from .errors import LoadError
-from .mixes import CHAT_MIX, FLOW_MIX, KindOfRequest
+from .mixes import CHAT_MIX, FLOW_MIX, RequestProfile
 
 
 @dataclass(frozen=True, slots=True)
 class UserDeployment:
-    """One user's deployment with what its callers ask for."""
+    """One user's deployment with the request mix of its callers."""
 
     name: str
     shape: DeploymentShape
-    mix: Sequence[KindOfRequest]
+    mix: Sequence[RequestProfile]
 
 
 CHAGUANAS: Final = UserDeployment(
@@ -61,19 +61,19 @@
 DEPLOYMENTS: Final = {one.name: one for one in (CHAGUANAS, HANBIT)}
 
 
-def deployment_named(name: str) -> UserDeployment:
+def get_deployment(name: str) -> UserDeployment:
     """Return a user's deployment.
 
     Raises:
-        LoadError: there is none of that name.
+        LoadError: no deployment has this name.
     """
     if name not in DEPLOYMENTS:
         known = ", ".join(DEPLOYMENTS)
-        raise LoadError(f"no deployment {name!r}; known are {known}")
+        raise LoadError(f"unknown deployment {name!r}; known: {known}")
     return DEPLOYMENTS[name]
 
 
-def adapted(
+def adapt_deployment(
     deployment: UserDeployment,
     statement_ms: float | None = None,
     root_settings: dict[str, Any] | None = None,
--- a/packages/load/src/dogwoodspool_load/slopes.py
+++ b/packages/load/src/dogwoodspool_load/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through measured points, and what they say at another size."""
+"""Least-squares lines through measured points, and their extrapolation."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -24,11 +24,11 @@
     largest: float
 
     def at(self, size: float) -> float:
-        """Return the value at a size, extrapolated past the measured ones."""
+        """Return the value at a size; it is extrapolated outside the measured sizes."""
         return self.base + self.slope * size
 
     def size_at(self, value: float) -> float:
-        """Return the size at which the line reaches a value; 0 if it begins above."""
+        """Return the size at which the line reaches a value; 0 if its base is above."""
         if self.base >= value:
             return 0.0
         return (value - self.base) / self.slope if self.slope > 0 else float("inf")
@@ -38,7 +38,7 @@
     """Fit a line through one figure of measured points.
 
     Raises:
-        LoadError: fewer than two different sizes were measured.
+        LoadError: the points have fewer than two different sizes.
 
     Example:
         >>> fit_line([{"n": 1, "ms": 3.0}, {"n": 3, "ms": 7.0}], "n", "ms")
--- a/packages/load/src/dogwoodspool_load/statistics.py
+++ b/packages/load/src/dogwoodspool_load/statistics.py
@@ -13,10 +13,10 @@
 
 from .const import (
     FILE_HDR,
-    HIGHEST_US,
-    LOWEST_US,
+    MAX_LATENCY_US,
     MICROSECONDS,
-    PERCENTILE_FAR_TAIL,
+    MIN_LATENCY_US,
+    PERCENTILE_EXTREME_TAIL,
     PERCENTILE_MEDIAN,
     PERCENTILE_TAIL,
     SIGNIFICANT_DIGITS,
@@ -30,9 +30,9 @@
 
     Attributes:
         at: monotonic seconds at its end.
-        seconds: from the moment at which it was due, also where its caller came
-            late to it; so a stall counts for each request that it held back
-            (coordinated omission).
+        seconds: latency from the time at which the request was due, even if its
+            caller sent it later, so that a stall counts for each request that it
+            delayed (avoids coordinated omission).
     """
 
     at: float
@@ -52,7 +52,7 @@
 
     @property
     def samples(self) -> Sequence[Sample]:
-        """All samples until now."""
+        """All samples so far."""
         with self._lock:
             return list(self._samples)
 
@@ -65,7 +65,7 @@
                 histogram.record_value(_microseconds(sample.seconds))
 
     def summary(self) -> dict[str, Any]:
-        """Return counts and percentiles (milliseconds) per kind."""
+        """Return outcome counts and latency percentiles in milliseconds per kind."""
         with self._lock:
             samples = list(self._samples)
             histograms = dict(self._histograms)
@@ -81,7 +81,7 @@
         }
 
     def write_logs(self, folder: Path, seconds: float) -> None:
-        """Write a log in HDR's format for each kind of request."""
+        """Write a log in HdrHistogram's format for each kind of request."""
         with self._lock:
             histograms = dict(self._histograms)
         for kind, histogram in histograms.items():
@@ -98,8 +98,8 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+    """Return an empty histogram of latencies in microseconds."""
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def percentiles_ms(histogram: HdrHistogram | None) -> dict[str, float]:
@@ -109,7 +109,7 @@
     wanted = {
         "p50_ms": PERCENTILE_MEDIAN,
         "p99_ms": PERCENTILE_TAIL,
-        "p999_ms": PERCENTILE_FAR_TAIL,
+        "p999_ms": PERCENTILE_EXTREME_TAIL,
     }
     return {
         name: round(histogram.get_value_at_percentile(percentile) / MILLISECONDS, 2)
@@ -118,4 +118,4 @@
 
 
 def _microseconds(seconds: float) -> int:
-    return min(HIGHEST_US, max(LOWEST_US, int(seconds * MICROSECONDS)))
+    return min(MAX_LATENCY_US, max(MIN_LATENCY_US, int(seconds * MICROSECONDS)))
--- a/script/measure.py
+++ b/script/measure.py
@@ -22,17 +22,17 @@
 from dogwoodspool_load.const import SHARED_MACHINE_NOTE
 from dogwoodspool_load.failover import FailoverMeter
 from dogwoodspool_load.final_read import create_tables
-from dogwoodspool_load.gaps import summary_of
-from dogwoodspool_load.mixes import with_weight_of_writes
-from dogwoodspool_load.overhead import added_ms, measure_overhead
-from dogwoodspool_load.results import result_of
+from dogwoodspool_load.gaps import summarize_gaps
+from dogwoodspool_load.mixes import scale_write_weight
+from dogwoodspool_load.overhead import added_latency_ms, measure_overhead
+from dogwoodspool_load.results import build_result
 from dogwoodspool_load.runner import RunOutcome, RunPlan, run_load
 from dogwoodspool_load.schedule import FaultAction, parse_schedule
 from dogwoodspool_load.shapes import (
     DEPLOYMENTS,
     UserDeployment,
-    adapted,
-    deployment_named,
+    adapt_deployment,
+    get_deployment,
 )
 from dogwoodspool_testbed import Deployment
 
@@ -104,7 +104,7 @@
                     gap = meter.measure(groups[number % len(groups)], action)
                     gaps.append(gap)
                     say(f"{action} {number + 1}: {gap.gap_ms} ms {gap.phases_ms}")
-                results[str(action)] = summary_of(gaps)
+                results[str(action)] = summarize_gaps(gaps)
         return results
 
     def overhead(self) -> dict[str, Any]:
@@ -112,11 +112,11 @@
         with Deployment(self._wanted.shape) as deployment:
             create_tables(deployment)
             latencies = measure_overhead(deployment, self._sizes.statements)
-        return {"latencies": latencies, "added_p50_ms": added_ms(latencies)}
+        return {"latencies": latencies, "added_p50_ms": added_latency_ms(latencies)}
 
     def steady(self) -> dict[str, Any]:
         """Run the user's mix at a light rate without faults."""
-        return result_of(self._run("steady", self._sizes.steady_seconds, ""))
+        return build_result(self._run("steady", self._sizes.steady_seconds, ""))
 
     def faults(self) -> dict[str, Any]:
         """Run the user's mix through a schedule of faults."""
@@ -129,7 +129,7 @@
             f"15 kill-proxy proxy-4; 16 terminate-proxy proxy-5; "
             f"17 promote {second}; 20 freeze-primary {third}"
         )
-        return result_of(self._run("faults", self._sizes.faults_seconds, schedule))
+        return build_result(self._run("faults", self._sizes.faults_seconds, schedule))
 
     def overload(self) -> dict[str, Any]:
         """Offer one, two and three times the capacity, with and without admission."""
@@ -160,7 +160,7 @@
                 SKEWED_PROXIES,
             ),
         ):
-            wanted = adapted(self._wanted, OVERLOAD_STATEMENT_MS, settings)
+            wanted = adapt_deployment(self._wanted, OVERLOAD_STATEMENT_MS, settings)
             with Deployment(wanted.shape) as deployment:
                 create_tables(deployment)
                 if name == "primary-only reads":
@@ -191,7 +191,7 @@
         # The first run opens the proxies' connections and is not counted.
         run_load(deployment, replace(closed, name="warm"), self._folder, say)
         outcome = run_load(deployment, closed, self._folder, say)
-        capacity = float(result_of(outcome)["goodput"])
+        capacity = float(build_result(outcome)["goodput"])
         say(f"capacity {capacity:.0f} requests/s with {callers} callers")
         return capacity
 
@@ -209,14 +209,14 @@
         # What the caller can use is what came within its own deadline, also where
         # the system was told none.
         outcome.plan = replace(offered, deadline_ms=OVERLOAD_DEADLINE_MS)
-        result = result_of(outcome)
+        result = build_result(outcome)
         say(f"x{multiplier}: goodput {result['goodput']}/s {result['outcomes']}")
         return {"multiplier": multiplier, **result}
 
     def _overload_plan(self, rate: float) -> RunPlan:
         return RunPlan(
             name="overload",
-            mix=with_weight_of_writes(self._wanted.mix, OVERLOAD_WRITES),
+            mix=scale_write_weight(self._wanted.mix, OVERLOAD_WRITES),
             seconds=self._sizes.overload_seconds,
             rate=rate,
             callers=OVERLOAD_CALLERS,
@@ -323,7 +323,7 @@
     with tempfile.TemporaryDirectory(prefix="dogwoodspool-measure-") as folder:
         for name in names:
             sizes = QUICK if quick else FULL
-            measurement = Measurement(deployment_named(name), sizes, Path(folder))
+            measurement = Measurement(get_deployment(name), sizes, Path(folder))
             for part, measure in measurement.parts().items():
                 if chosen and part not in chosen:
                     continue
--- a/tests/load/test_capacity_page.py
+++ b/tests/load/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""Tests of slopes and of the page that is derived from them."""
+"""Tests of fitted lines and of the page that is rendered from the slopes."""
 
 import unittest
 from pathlib import Path
@@ -13,25 +13,25 @@
 class LineTests(unittest.TestCase):
     """Lines through measured points."""
 
-    def test_a_line_goes_through_points_that_lie_on_one(self) -> None:
+    def test_a_line_through_collinear_points_is_exact(self) -> None:
         points = [{"n": n, "ms": 2.0 + 0.5 * n} for n in (1, 4, 9)]
         line = fit_line(points, "n", "ms")
         self.assertAlmostEqual(line.at(100), 52.0)
         self.assertAlmostEqual(line.size_at(4.0), 4.0)
         self.assertEqual(line.largest, 9)
 
-    def test_a_line_that_begins_above_a_value_holds_no_size(self) -> None:
+    def test_the_size_is_zero_if_the_base_is_above_the_value(self) -> None:
         points = [{"n": 1, "ms": 3.0}, {"n": 2, "ms": 4.0}]
         self.assertEqual(fit_line(points, "n", "ms").size_at(1.0), 0.0)
 
-    def test_one_size_gives_no_line(self) -> None:
+    def test_a_single_size_raises(self) -> None:
         points = [{"n": 1, "ms": 3.0}, {"n": 1, "ms": 4.0}]
         with self.assertRaisesRegex(LoadError, "fewer than two"):
             fit_line(points, "n", "ms")
 
 
 class CapacityPageTests(unittest.TestCase):
-    """The page in docs/ against the measured slopes."""
+    """The page in docs/ matches the measured slopes."""
 
     def test_the_page_is_current(self) -> None:
         page = (ROOT / "docs" / "CAPACITY.md").read_text()
--- a/tests/load/test_checker.py
+++ b/tests/load/test_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the checker: histories that are wrong on purpose, one per fault."""
+"""Tests of the checker with histories that each contain one deliberate fault."""
 
 import tempfile
 import unittest
@@ -17,10 +17,10 @@
     return {violation.rule for violation in check_history(events, [held])}
 
 
-class RightHistoryTests(unittest.TestCase):
-    """A history in which everything held."""
+class ValidHistoryTests(unittest.TestCase):
+    """Histories in which every rule held."""
 
-    def test_a_right_history_has_no_violation(self) -> None:
+    def test_a_valid_history_has_no_violation(self) -> None:
         events = [
             *write("w1", 1.0),
             *read("r1", 2.0, (row("w1", "r1", 1),)),
@@ -35,20 +35,20 @@
         held = final(stored("w1"), stored("w2"), *pair)
         self.assertEqual(check_history(events, [held]), [])
 
-    def test_an_unknown_write_may_be_there_or_not(self) -> None:
+    def test_an_unknown_write_may_be_stored_or_absent(self) -> None:
         events = write("w1", 1.0, Outcome.UNKNOWN)
         self.assertEqual(rules(events, final()), set())
         self.assertEqual(rules(events, final(stored("w1"))), set())
 
 
 class ReadYourWritesTests(unittest.TestCase):
-    """An agent posts a line, moves to another proxy and does not see the line."""
+    """A caller writes, changes to another proxy and does not read its own write."""
 
-    def test_a_missing_own_write_is_caught(self) -> None:
+    def test_a_missing_own_write_is_detected(self) -> None:
         events = [*write("w1", 1.0), *read("r1", 2.0, ())]
         self.assertEqual(rules(events, final(stored("w1"))), {Rule.READ_YOUR_WRITES})
 
-    def test_a_write_in_flight_during_the_read_binds_nothing(self) -> None:
+    def test_a_write_in_flight_during_the_read_may_be_missing(self) -> None:
         events = [*write("w1", 1.0), *read("r1", 1.05, ())]
         self.assertEqual(rules(events, final(stored("w1"))), set())
 
@@ -58,16 +58,16 @@
 
 
 class StatedAgeTests(unittest.TestCase):
-    """A look-up that accepts half a second of age misses an older order."""
+    """A read that accepts an age of half a second misses an older write."""
 
-    def test_an_answer_older_than_stated_is_caught(self) -> None:
+    def test_an_answer_older_than_max_age_is_detected(self) -> None:
         events = [
             *write("w1", 1.0),
             *read("r1", 2.0, (), session="s2", max_age_ms=500),
         ]
         self.assertEqual(rules(events, final(stored("w1"))), {Rule.STATED_AGE})
 
-    def test_a_write_within_the_stated_age_may_be_missing(self) -> None:
+    def test_a_write_within_max_age_may_be_missing(self) -> None:
         events = [
             *write("w1", 1.0),
             *read("r1", 1.4, (), session="s2", max_age_ms=500),
@@ -76,12 +76,12 @@
 
 
 class FinalStateTests(unittest.TestCase):
-    """What the tables hold in the end against what callers were told."""
+    """Final tables against the outcomes that callers received."""
 
-    def test_a_lost_acknowledged_write_is_caught(self) -> None:
+    def test_a_lost_acknowledged_write_is_detected(self) -> None:
         self.assertEqual(rules(write("w1", 1.0), final()), {Rule.ACKNOWLEDGED_WRITE})
 
-    def test_a_request_run_twice_is_caught(self) -> None:
+    def test_a_request_run_twice_is_detected(self) -> None:
         events = [
             *write("w1", 1.0, Outcome.UNKNOWN),
             *write("w1", 2.0, Outcome.OK, attempt=2),
@@ -89,61 +89,61 @@
         held = final(stored("w1"), stored("w1"))
         self.assertEqual(rules(events, held), {Rule.AT_MOST_ONCE})
 
-    def test_a_request_told_not_run_that_ran_is_caught(self) -> None:
+    def test_a_stored_write_reported_as_not_run_is_detected(self) -> None:
         for outcome in (Outcome.NOT_RUN, Outcome.FAILED, Outcome.ABORTED):
             with self.subTest(outcome=outcome):
                 events = write("w1", 1.0, outcome)
                 self.assertEqual(rules(events, final(stored("w1"))), {Rule.NOT_RUN})
 
-    def test_not_run_after_an_unknown_attempt_says_nothing_of_the_first(self) -> None:
+    def test_not_run_after_an_unknown_attempt_allows_a_stored_row(self) -> None:
         events = [
             *write("w1", 1.0, Outcome.UNKNOWN),
             *write("w1", 2.0, Outcome.NOT_RUN, attempt=2),
         ]
         self.assertEqual(rules(events, final(stored("w1"))), set())
 
-    def test_an_acknowledgement_past_the_branch_is_caught(self) -> None:
-        # The replaced primary acknowledged offset 8 of term 1; the new one began
-        # at offset 7, so that the entry is in no log.
+    def test_an_acknowledgement_after_the_term_start_is_detected(self) -> None:
+        # The replaced primary acknowledged offset 8 of term 1; the new term started
+        # at offset 7, so that the entry is in no replica's log.
         events = write("w1", 1.0, position=Position(1, 8))
         held = final(stored("w1"), term_starts=(Position(2, 7),))
         self.assertEqual(rules(events, held), {Rule.PROMOTION_SAFETY})
 
-    def test_an_acknowledgement_before_the_branch_is_right(self) -> None:
+    def test_an_acknowledgement_up_to_the_term_start_is_valid(self) -> None:
         events = write("w1", 1.0, position=Position(1, 7))
         held = final(stored("w1"), term_starts=(Position(2, 7),))
         self.assertEqual(rules(events, held), set())
 
 
 class WholeAnswerTests(unittest.TestCase):
-    """Rows are cut off, damaged or another caller's."""
+    """Answers with missing rows, damaged rows or rows of another answer."""
 
     def check(self, *events: Event) -> set[Rule]:
         whole = [*write("w1", 1.0, session="s9"), *events]
         return rules(whole, final(stored("w1")))
 
-    def test_a_missing_row_is_caught(self) -> None:
+    def test_a_missing_row_is_detected(self) -> None:
         self.assertEqual(
             self.check(*read("r1", 2.0, (row("w1", "r1", 2),))), {Rule.WHOLE_ANSWER}
         )
 
-    def test_the_answer_to_another_read_is_caught(self) -> None:
+    def test_the_answer_to_another_read_is_detected(self) -> None:
         self.assertEqual(
             self.check(*read("r1", 2.0, (row("w1", "r0", 1),))), {Rule.WHOLE_ANSWER}
         )
 
-    def test_a_damaged_row_is_caught(self) -> None:
+    def test_a_damaged_row_is_detected(self) -> None:
         damaged = replace(row("w1", "r1", 1), body="text 1 of w")
         self.assertEqual(self.check(*read("r1", 2.0, (damaged,))), {Rule.WHOLE_ANSWER})
 
 
 class TransactionTests(unittest.TestCase):
-    """Half of a transaction, or a statement of another caller's, gets in."""
+    """Half of a transaction is visible, or a row that no request wrote to its room."""
 
     def pair(self) -> list[Event]:
         return write("p1", 1.0, session="s9", table=Table.PAIRS, rows_written=2)
 
-    def test_a_read_of_one_half_is_caught(self) -> None:
+    def test_a_read_of_a_partial_transaction_is_detected(self) -> None:
         events = [
             *self.pair(),
             *read("r1", 2.0, (row("p1", "r1", 1),), table=Table.PAIRS),
@@ -151,21 +151,21 @@
         held = final(stored("p1", Table.PAIRS), stored("p1", Table.PAIRS, part=2))
         self.assertEqual(rules(events, held), {Rule.TRANSACTIONS})
 
-    def test_a_stored_half_is_caught(self) -> None:
+    def test_a_stored_partial_transaction_is_detected(self) -> None:
         events = write("p1", 1.0, Outcome.UNKNOWN, table=Table.PAIRS, rows_written=2)
         held = final(stored("p1", Table.PAIRS))
         self.assertEqual(rules(events, held), {Rule.TRANSACTIONS})
 
-    def test_a_row_of_no_request_is_caught(self) -> None:
+    def test_a_row_without_a_request_is_detected(self) -> None:
         self.assertEqual(rules([], final(stored("w1"))), {Rule.TRANSACTIONS})
 
-    def test_a_row_in_another_callers_room_is_caught(self) -> None:
+    def test_a_row_in_another_room_is_detected(self) -> None:
         held = final(replace(stored("w1"), room="room-2"))
         self.assertEqual(rules(write("w1", 1.0), held), {Rule.TRANSACTIONS})
 
 
 class RecordedHistoryTests(unittest.TestCase):
-    """Events survive the way through the file."""
+    """Events written to a file and read back."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -183,12 +183,12 @@
         recorder.close()
         self.assertEqual(read_history(self.path), events)
 
-    def test_a_broken_line_is_named(self) -> None:
+    def test_the_error_has_the_number_of_an_invalid_line(self) -> None:
         self.path.write_text("{}\n")
         with self.assertRaisesRegex(HistoryError, "line 1"):
             read_history(self.path)
 
-    def test_an_answer_without_its_invocation_is_refused(self) -> None:
+    def test_an_answer_without_its_invocation_raises(self) -> None:
         _, answer = write("w1", 1.0)
         with self.assertRaisesRegex(HistoryError, "w1"):
             check_history([answer], [final()])
--- a/tests/load/test_failover.py
+++ b/tests/load/test_failover.py
@@ -1,4 +1,4 @@
-"""Tests of how gaps are worked out, and of what counts bytes and processor time."""
+"""Tests of failover gaps, of the byte-counting relay and of process usage."""
 
 import os
 import socket
@@ -8,11 +8,11 @@
 from dogwoodspool_common import Address
 from dogwoodspool_load.gaps import (
     ANY_PROXY,
-    Acknowledged,
+    AcknowledgedWrite,
     FailoverGap,
-    first_after,
+    first_acknowledgements,
     longest_pauses,
-    summary_of,
+    summarize_gaps,
 )
 from dogwoodspool_load.process_usage import cpu_seconds, resident_bytes
 from dogwoodspool_load.relay import CountingRelay
@@ -22,19 +22,19 @@
     """Gaps from acknowledgements at two proxies."""
 
     acknowledged = (
-        Acknowledged("p1", 0.9, 1.0),
-        Acknowledged("p1", 1.9, 2.05),
-        Acknowledged("p1", 3.0, 3.1),
-        Acknowledged("p2", 1.0, 1.1),
-        Acknowledged("p2", 4.0, 4.2),
+        AcknowledgedWrite("p1", 0.9, 1.0),
+        AcknowledgedWrite("p1", 1.9, 2.05),
+        AcknowledgedWrite("p1", 3.0, 3.1),
+        AcknowledgedWrite("p2", 1.0, 1.1),
+        AcknowledgedWrite("p2", 4.0, 4.2),
     )
 
     def test_a_write_sent_before_the_kill_does_not_end_the_gap(self) -> None:
-        gaps = first_after(self.acknowledged, 2.0)
+        gaps = first_acknowledgements(self.acknowledged, 2.0)
         self.assertAlmostEqual(gaps[ANY_PROXY], 1.1)
         self.assertAlmostEqual(gaps["p2"], 2.2)
 
-    def test_pauses_that_ended_before_do_not_count(self) -> None:
+    def test_pauses_that_ended_before_the_fault_do_not_count(self) -> None:
         pauses = longest_pauses(self.acknowledged, 2.5)
         self.assertAlmostEqual(pauses[ANY_PROXY], 1.1)
         self.assertAlmostEqual(pauses["p2"], 3.1)
@@ -44,15 +44,15 @@
             FailoverGap("kill-primary", gap, 2 * gap, {"ended": gap / 2}, "s")
             for gap in (100.0, 300.0, 200.0)
         ]
-        summary = summary_of(gaps)
+        summary = summarize_gaps(gaps)
         self.assertEqual(summary["gap_ms"], {"median": 200.0, "worst": 300.0})
         self.assertEqual(summary["phases_ms_median"], {"ended": 100.0})
 
 
 class CountingRelayTests(unittest.TestCase):
-    """Bytes both ways."""
+    """Bytes are counted in both directions."""
 
-    def test_bytes_are_passed_on_and_counted(self) -> None:
+    def test_bytes_are_forwarded_and_counted(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
 
@@ -76,7 +76,7 @@
 class ProcessUsageTests(unittest.TestCase):
     """Figures from /proc."""
 
-    def test_work_adds_processor_time(self) -> None:
+    def test_computation_adds_processor_time(self) -> None:
         before = cpu_seconds(os.getpid())
         while cpu_seconds(os.getpid()) == before:
             sum(range(10_000))
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -1,4 +1,4 @@
-"""Tests of schedules of faults."""
+"""Tests of fault schedules."""
 
 import tempfile
 import unittest
@@ -14,9 +14,9 @@
 
 
 class ScheduleTests(unittest.TestCase):
-    """The text of a schedule."""
+    """Parsing of a schedule's text."""
 
-    def test_faults_come_in_the_order_of_their_times(self) -> None:
+    def test_faults_are_sorted_by_time(self) -> None:
         faults = parse_schedule("5 lag chat1-2 250\n# lull\n2.5 kill-leader; 3 cut a")
         self.assertEqual(
             faults,
@@ -27,7 +27,7 @@
             ),
         )
 
-    def test_a_bad_fault_is_named(self) -> None:
+    def test_the_error_quotes_an_invalid_fault(self) -> None:
         for text in (
             "kill",
             "x promote a",
--- a/tests/load/test_statistics.py
+++ b/tests/load/test_statistics.py
@@ -25,9 +25,9 @@
 
 
 class GoodputTests(unittest.TestCase):
-    """What counts as served."""
+    """Requests that count towards goodput, and the share of replica reads."""
 
-    def test_late_refused_and_afterwards_do_not_count(self) -> None:
+    def test_goodput_excludes_late_rejected_and_overrunning_requests(self) -> None:
         outcome = outcome_of(
             sample(10.5, 0.09),
             sample(11.0, 0.11),
@@ -36,14 +36,14 @@
         )
         self.assertEqual(goodput(outcome), 0.5)
 
-    def test_share_of_reads_by_replicas(self) -> None:
+    def test_replica_share_of_reads(self) -> None:
         self.assertEqual(replica_share(outcome_of()), 0.75)
 
 
 class SummaryTests(unittest.TestCase):
     """Percentiles per kind."""
 
-    def test_only_answers_that_are_ok_have_a_latency(self) -> None:
+    def test_percentiles_count_only_successful_requests(self) -> None:
         outcome = outcome_of(sample(10.5, 0.02), sample(10.6, 5.0, Outcome.UNKNOWN))
         inbox = outcome.statistics.summary()["inbox"]
         self.assertEqual(inbox["outcomes"], {"ok": 1, "unknown": 1})
