--- a/script/check_platform_names.py
+++ b/script/check_platform_names.py
@@ -1,4 +1,4 @@
-"""Refuse the platform's own names outside of its folder."""
+"""Check that packages/ uses none of the platform's own names."""
 
 import re
 import sys
@@ -7,8 +7,8 @@
 
 ROOT: Final = Path(__file__).resolve().parent.parent
 
-# Words of the platform's text protocol, of its messages, settings and headers. What
-# the project itself calls something else must not come back under these names.
+# Words of the platform's text protocol, messages, settings and headers. The packages
+# have names of their own for these concepts and must not use the platform's.
 NAMES: Final = re.compile(
     r"\b(WAITLSN|STEPDOWN|DATAROW|MISROUTED|CONNLIMIT|INDOUBT|NOSTMT|NODB|DEALLOC"
     r"|LAGGING|heartbeatAddr|warmupLeftMs|dbRole|pathPrefix|maxStalenessMs"
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Print each line with a foreign name; exit 1 where there is one."""
+    """Print each line with a name of the platform; return 1 if there is any."""
     found = 0
     for path in sorted((ROOT / "packages").rglob("*.py")):
         for number, line in enumerate(path.read_text().splitlines(), start=1):
--- a/script/demo.py
+++ b/script/demo.py
@@ -1,4 +1,4 @@
-"""Show the main job end to end: read-your-writes, settings, a change of primary."""
+"""Demonstrate read-your-writes, a settings change and changes of primary."""
 
 import signal
 import sys
@@ -29,26 +29,26 @@
 
 @dataclass
 class Steps:
-    """Run steps one after the other and say what each measured."""
+    """Run steps one after the other and print the result of each."""
 
     failures: int = 0
     began_at: float = field(default_factory=time.monotonic)
 
     def run(self, title: str, step: Callable[[], str]) -> None:
-        """Run one step; a failure is said and the next step still runs."""
+        """Run one step; print a failure without preventing the next steps."""
         began_at = time.monotonic()
         try:
-            said = step()
+            result = step()
         except (AssertionError, TestbedError, pymysql.MySQLError) as error:
             self.failures += 1
             print(f"FAILED  {title}: {error}")
             return
         elapsed = time.monotonic() - began_at
-        print(f"ok      {title}: {said} ({elapsed:.2f} s)")
+        print(f"ok      {title}: {result} ({elapsed:.2f} s)")
 
 
 def shape() -> DeploymentShape:
-    """Describe the demo's deployment."""
+    """Return the shape of the demo's deployment."""
     return DeploymentShape(
         groups=GROUPS,
         standin=StandinShape(connect_delay_ms=10, replication_lag_ms=20),
@@ -70,7 +70,7 @@
 
 @dataclass
 class Demo:
-    """The demo's steps over one deployment."""
+    """Steps of the demo on one deployment."""
 
     deployment: Deployment
     token: str = ""
@@ -100,14 +100,15 @@
         return f"row {identifier} acknowledged"
 
     def read_elsewhere(self) -> str:
-        """Read the own write through another proxy, from a replica."""
+        """Read the write through another proxy until a replica serves the read."""
         deployment = self.deployment
         proxy = deployment.proxies[1]
         by_replica = f'reads_total{{group="{GROUP}",served_by="replica"}} 1'
         deadline = time.monotonic() + FAILOVER_SECONDS
         with deployment.connect(proxy, GROUP) as connection:
-            # A replica that takes longer than usual to have the write is passed over
-            # for the primary, which a busy machine may show for the first reads.
+            # A replica that takes longer than usual to replicate the write is skipped
+            # and the primary serves the read. On a busy machine this can happen to
+            # the first reads.
             while by_replica not in deployment.metrics(proxy):
                 assert time.monotonic() < deadline, "no replica served the read"
                 rows = query(
@@ -134,7 +135,7 @@
         return f"version {answer['version']} in force in every proxy in {elapsed:.3f} s"
 
     def kill_primary(self) -> str:
-        """Kill the primary and write on at the new one."""
+        """Kill the primary and write until the new primary acknowledges."""
         deployment = self.deployment
         old = deployment.primary(GROUP)
         with deployment.connect(deployment.proxies[2], GROUP) as connection:
@@ -154,7 +155,7 @@
         return f"{old.name} killed; {new.name} took writes after {gap:.3f} s, none lost"
 
     def promote(self) -> str:
-        """Move the primary of the other group on purpose."""
+        """Switch over the primary of the other group while writing to it."""
         deployment = self.deployment
         group = GROUPS[1]
         old = deployment.primary(group)
@@ -168,14 +169,15 @@
             deadline = last + FAILOVER_SECONDS
             has_moved = False
             while not has_moved:
-                # Only a write that began after the move shows that they go on: while
-                # proxies wait for their next grant they refuse with a time to retry.
-                is_after = self._leads_another(group, old)
+                # Only a write sent after the switchover shows that writes succeed
+                # again: proxies that wait for their next grant reject writes with a
+                # time to retry.
+                is_after_switchover = self._has_new_primary(group, old)
                 tried += 1
                 try:
                     query(connection, f"INSERT INTO seen VALUES ({tried})")
                     acknowledged.add(tried)
-                    has_moved = is_after
+                    has_moved = is_after_switchover
                     longest = max(longest, time.monotonic() - last)
                     last = time.monotonic()
                 except pymysql.MySQLError:
@@ -186,15 +188,15 @@
         new = deployment.primary(group)
         return f"{old.name} to {new.name}, longest pause between writes {longest:.3f} s"
 
-    def _leads_another(self, group: str, old: StandinHandle) -> bool:
+    def _has_new_primary(self, group: str, old: StandinHandle) -> bool:
         try:
             return self.deployment.primary(group).name != old.name
         except TestbedError:
-            return False  # The group is between two primaries.
+            return False  # The group has no primary during the change.
 
 
-def stay(deployment: Deployment) -> None:
-    """Print what can be reached and wait for an interrupt."""
+def wait_until_stopped(deployment: Deployment) -> None:
+    """Print the addresses of all processes and wait for SIGINT or SIGTERM."""
     for proxy in deployment.proxies:
         for group in GROUPS:
             print(
@@ -221,7 +223,7 @@
     with Deployment(shape()) as deployment:
         elapsed = time.monotonic() - began_at
         if "--stay" in sys.argv[1:]:
-            stay(deployment)
+            wait_until_stopped(deployment)
             return 0
         count = len(deployment.processes.pids())
         print(f"ok      start {count} processes ({elapsed:.2f} s)")
--- a/script/emulate.py
+++ b/script/emulate.py
@@ -25,7 +25,7 @@
 
 
 def main() -> int:
-    """Play a scenario and show what became of its requests."""
+    """Emulate a scenario and print the outcomes of its requests."""
     arguments = docopt(__doc__ or "")
     logger.remove()
     try:
@@ -34,7 +34,7 @@
         print(f"emulate: {error}", file=sys.stderr)
         return 2
     rows = [
-        play(scenario, variant, proxies, is_quiet=arguments["--quiet"])
+        emulate_variant(scenario, variant, proxies, is_quiet=arguments["--quiet"])
         for variant in scenario.variants
         for proxies in scenario.proxies
     ]
@@ -47,23 +47,25 @@
     return 0
 
 
-def play(scenario: Scenario, variant: Variant, proxies: int, *, is_quiet: bool) -> Row:
-    """Play one variant at one number of proxies, with each seed."""
+def emulate_variant(
+    scenario: Scenario, variant: Variant, proxies: int, *, is_quiet: bool
+) -> Row:
+    """Emulate one variant with one number of proxies, once per seed."""
     outcomes = []
     for seed in scenario.seeds:
         label = f"{variant.name}, {proxies} proxies, seed {seed}"
-        progress = None if is_quiet else show_progress(label)
+        progress = None if is_quiet else progress_printer(label)
         emulation = Emulation(scenario, variant, proxies=proxies, seed=seed)
         outcomes.append(emulation.run(progress))
     return Row(variant.name, proxies, tuple(outcomes))
 
 
-def show_progress(label: str) -> Callable[[float], None]:
-    """Return a function that shows how much is played."""
+def progress_printer(label: str) -> Callable[[float], None]:
+    """Return a function that prints the completed fraction of an emulation."""
 
-    def show(part: float) -> None:
-        end = "\n" if part >= 1 else ""
-        print(f"\r{label}: {part:4.0%}", end=end, file=sys.stderr, flush=True)
+    def show(fraction: float) -> None:
+        end = "\n" if fraction >= 1 else ""
+        print(f"\r{label}: {fraction:4.0%}", end=end, file=sys.stderr, flush=True)
 
     return show
 
--- a/script/fuzz.py
+++ b/script/fuzz.py
@@ -1,4 +1,4 @@
-"""Run the property and state-machine tests with seeds of their own."""
+"""Run the property and state-machine tests with random seeds and more examples."""
 
 import random
 import sys
@@ -16,50 +16,56 @@
 EXAMPLES: Final = 200
 RUN_MACHINE: Final = "run_state_machine_as_test"
 STATEFUL_MODULE: Final = "hypothesis.stateful"
-# Where hypothesis keeps the settings of a wrapped test function.
+# Attribute in which hypothesis stores the settings of a wrapped test function.
 SETTINGS_ATTRIBUTE: Final = "_hypothesis_internal_use_settings"
 SEED_ARGUMENT: Final = 2
 MAX_SEED: Final = 2**32
 
 
 def property_tests() -> list[unittest.TestCase]:
-    """Return the tests that hypothesis feeds, property and state machine alike."""
+    """Return the property tests and state-machine tests of hypothesis."""
     suite = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=ROOT)
-    tests = list(_flat(suite))
-    _widen_machines()
-    return [test for test in tests if _feeder(test) is not None or _runs_machine(test)]
-
-
-def _flat(suite: unittest.TestSuite | unittest.TestCase) -> Iterator[unittest.TestCase]:
+    tests = list(_flatten(suite))
+    _extend_state_machines()
+    return [
+        test
+        for test in tests
+        if _settings_owner(test) is not None or _runs_machine(test)
+    ]
+
+
+def _flatten(
+    suite: unittest.TestSuite | unittest.TestCase,
+) -> Iterator[unittest.TestCase]:
     if isinstance(suite, unittest.TestCase):
         yield suite
         return
     for part in suite:
-        yield from _flat(part)
+        yield from _flatten(part)
 
 
 def _runs_machine(test: unittest.TestCase) -> bool:
-    """Tell whether a test's module runs a state machine by itself."""
+    """Return whether a test's module imports ``run_state_machine_as_test``."""
     return hasattr(sys.modules[type(test).__module__], RUN_MACHINE)
 
 
-def _widen_machines() -> None:
-    """Give state machines that tests run by themselves more examples."""
+def _extend_state_machines() -> None:
+    """Make test modules that import ``run_state_machine_as_test`` run more examples."""
     for name, module in list(sys.modules.items()):
         if name.startswith("tests.") and hasattr(module, RUN_MACHINE):
-            setattr(module, RUN_MACHINE, _run_wider)
+            setattr(module, RUN_MACHINE, _run_extended)
 
 
-def _run_wider(machine: Any, *, settings: Any = None, **options: Any) -> None:
-    run_state_machine_as_test(machine, settings=_wider(settings), **options)
+def _run_extended(machine: Any, *, settings: Any = None, **options: Any) -> None:
+    run_state_machine_as_test(machine, settings=_extended_settings(settings), **options)
 
 
-def _wider(own: Any) -> Any:
+def _extended_settings(own: Any) -> Any:
     return settings(own, derandomize=False, database=None, max_examples=EXAMPLES)
 
 
-def _feeder(test: unittest.TestCase) -> Any:
-    """Return what holds a test's hypothesis settings; None for a plain test."""
+def _settings_owner(test: unittest.TestCase) -> Any:
+    """Return the object with a test's hypothesis settings; None for a plain test."""
     method = getattr(type(test), test._testMethodName, None)
     if getattr(method, "is_hypothesis_test", False):
         return method
@@ -67,29 +73,29 @@
     return type(test) if is_machine else None
 
 
-def widen(test: unittest.TestCase) -> None:
-    """Give one test other examples than its fixed ones, and more of them."""
-    feeder = _feeder(test)
-    if feeder is None:
+def extend(test: unittest.TestCase) -> None:
+    """Make one test run more and random examples instead of its derandomized ones."""
+    owner = _settings_owner(test)
+    if owner is None:
         return
-    name = "settings" if isinstance(feeder, type) else SETTINGS_ATTRIBUTE
-    own = getattr(feeder, name, settings())
-    setattr(feeder, name, _wider(own))
+    name = "settings" if isinstance(owner, type) else SETTINGS_ATTRIBUTE
+    own = getattr(owner, name, settings())
+    setattr(owner, name, _extended_settings(own))
 
 
 def run_round(number: int) -> bool:
-    """Run every property test once with one seed; tell whether all passed."""
+    """Run every property test with one seed; return whether all passed."""
     core.global_force_seed = number
     suite = unittest.TestSuite()
     for test in property_tests():
-        widen(test)
+        extend(test)
         suite.addTest(test)
     result = unittest.TextTestRunner(verbosity=0).run(suite)
     return result.wasSuccessful() and result.testsRun > 0
 
 
 def main() -> int:
-    """Run rounds until the time is over or one fails."""
+    """Run rounds with consecutive seeds until the time is over or a round fails."""
     try:
         seconds = float(sys.argv[1])
         is_given = len(sys.argv) > SEED_ARGUMENT
--- a/script/measure.py
+++ b/script/measure.py
@@ -39,12 +39,13 @@
 ROOT: Final = Path(__file__).resolve().parent.parent
 RESULTS: Final = ROOT / "measurements"
 
-# Overload is bounded by the backend servers' slots, not by this machine's cores:
-# with this service time a group of three servers runs 450 statements a second.
+# With this service time the slots of the backend servers limit the throughput in
+# overload, not the cores of the machine: a group of three servers executes 450
+# statements per second.
 OVERLOAD_STATEMENT_MS: Final = 20.0
 OVERLOAD_DEADLINE_MS: Final = 400
 OVERLOAD_CALLERS: Final = 120
-OVERLOAD_WRITES: Final = 0.25
+OVERLOAD_WRITE_FACTOR: Final = 0.25
 MULTIPLIERS: Final = (1, 2, 3)
 NO_LIMIT: Final = 10_000
 LONG_DEADLINE_MS: Final = 60_000
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Sizes:
-    """How long and how often things are measured."""
+    """Durations of the runs in seconds and numbers of repetitions."""
 
     kills: int
     promotions: int
@@ -73,13 +74,13 @@
 class Measurement:
     """Measure one user's deployment part by part."""
 
-    def __init__(self, wanted: UserDeployment, sizes: Sizes, folder: Path) -> None:
-        self._wanted = wanted
+    def __init__(self, target: UserDeployment, sizes: Sizes, folder: Path) -> None:
+        self._target = target
         self._sizes = sizes
         self._folder = folder
 
     def parts(self) -> Mapping[str, Callable[[], dict[str, Any]]]:
-        """Return what can be measured, by name."""
+        """Return the measurement of each part by name."""
         return {
             "failover": self.failover,
             "overhead": self.overhead,
@@ -89,10 +90,10 @@
         }
 
     def failover(self) -> dict[str, Any]:
-        """Kill primaries, then move primaries, one at a time."""
-        groups = self._wanted.shape.groups
+        """Measure failovers after kills, then switchovers, one at a time."""
+        groups = self._target.shape.groups
         results = {}
-        with Deployment(self._wanted.shape) as deployment:
+        with Deployment(self._target.shape) as deployment:
             create_tables(deployment)
             meter = FailoverMeter(deployment)
             for action, count in (
@@ -103,24 +104,26 @@
                 for number in range(count):
                     gap = meter.measure(groups[number % len(groups)], action)
                     gaps.append(gap)
-                    say(f"{action} {number + 1}: {gap.gap_ms} ms {gap.phases_ms}")
+                    print_progress(
+                        f"{action} {number + 1}: {gap.gap_ms} ms {gap.phases_ms}"
+                    )
                 results[str(action)] = summarize_gaps(gaps)
         return results
 
     def overhead(self) -> dict[str, Any]:
-        """Time one caller's statements through a proxy and straight to a server."""
-        with Deployment(self._wanted.shape) as deployment:
+        """Time one caller's statements through a proxy and directly to a server."""
+        with Deployment(self._target.shape) as deployment:
             create_tables(deployment)
             latencies = measure_overhead(deployment, self._sizes.statements)
         return {"latencies": latencies, "added_p50_ms": added_latency_ms(latencies)}
 
     def steady(self) -> dict[str, Any]:
-        """Run the user's mix at a light rate without faults."""
+        """Run the user's request mix at a low rate without faults."""
         return build_result(self._run("steady", self._sizes.steady_seconds, ""))
 
     def faults(self) -> dict[str, Any]:
-        """Run the user's mix through a schedule of faults."""
-        shape = self._wanted.shape
+        """Run the user's request mix during a schedule of faults."""
+        shape = self._target.shape
         first, second, third = shape.groups
         domain = shape.failure_domains[0]
         schedule = (
@@ -132,8 +135,12 @@
         return build_result(self._run("faults", self._sizes.faults_seconds, schedule))
 
     def overload(self) -> dict[str, Any]:
-        """Offer one, two and three times the capacity, with and without admission."""
-        shape = self._wanted.shape
+        """Offer one, two and three times the capacity to each variant.
+
+        The variants are: with and without admission, reads served only by primaries,
+        and skewed load with leased and with static shares of connections.
+        """
+        shape = self._target.shape
         share = (shape.standin.connections - 2) // shape.proxies
         plan = self._overload_plan(0.0)
         results: dict[str, Any] = {}
@@ -160,8 +167,8 @@
                 SKEWED_PROXIES,
             ),
         ):
-            wanted = adapt_deployment(self._wanted, OVERLOAD_STATEMENT_MS, settings)
-            with Deployment(wanted.shape) as deployment:
+            target = adapt_deployment(self._target, OVERLOAD_STATEMENT_MS, settings)
+            with Deployment(target.shape) as deployment:
                 create_tables(deployment)
                 if name == "primary-only reads":
                     stop_replication(deployment)
@@ -169,9 +176,9 @@
                     capacity = self._capacity(deployment, plan)
                     results["capacity"] = round(capacity, 1)
                 else:
-                    self._warm(deployment, replace(plan, proxies=proxies), capacity)
+                    self._warm_up(deployment, replace(plan, proxies=proxies), capacity)
                 results[name] = [
-                    self._offer(
+                    self._run_at_multiplier(
                         deployment,
                         replace(plan, deadline_ms=deadline_ms, proxies=proxies),
                         capacity,
@@ -188,35 +195,37 @@
         closed = replace(
             plan, name="capacity", callers=callers, seconds=self._sizes.capacity_seconds
         )
-        # The first run opens the proxies' connections and is not counted.
-        run_load(deployment, replace(closed, name="warm"), self._folder, say)
-        outcome = run_load(deployment, closed, self._folder, say)
+        # The first run opens the connections of the proxies and is not measured.
+        run_load(deployment, replace(closed, name="warm"), self._folder, print_progress)
+        outcome = run_load(deployment, closed, self._folder, print_progress)
         capacity = float(build_result(outcome)["goodput"])
-        say(f"capacity {capacity:.0f} requests/s with {callers} callers")
+        print_progress(f"capacity {capacity:.0f} requests/s with {callers} callers")
         return capacity
 
-    def _warm(self, deployment: Deployment, plan: RunPlan, capacity: float) -> None:
+    def _warm_up(self, deployment: Deployment, plan: RunPlan, capacity: float) -> None:
         warm = replace(
             plan, name="warm", rate=capacity, seconds=self._sizes.capacity_seconds
         )
         run_load(deployment, warm, self._folder, lambda _line: None)
 
-    def _offer(
+    def _run_at_multiplier(
         self, deployment: Deployment, plan: RunPlan, capacity: float, multiplier: int
     ) -> dict[str, Any]:
         offered = replace(plan, name=f"x{multiplier}", rate=capacity * multiplier)
         outcome = run_load(deployment, offered, self._folder, lambda _line: None)
-        # What the caller can use is what came within its own deadline, also where
-        # the system was told none.
+        # Goodput counts the answers that arrive within the caller's deadline, even if
+        # no deadline was sent to the proxies.
         outcome.plan = replace(offered, deadline_ms=OVERLOAD_DEADLINE_MS)
         result = build_result(outcome)
-        say(f"x{multiplier}: goodput {result['goodput']}/s {result['outcomes']}")
+        print_progress(
+            f"x{multiplier}: goodput {result['goodput']}/s {result['outcomes']}"
+        )
         return {"multiplier": multiplier, **result}
 
     def _overload_plan(self, rate: float) -> RunPlan:
         return RunPlan(
             name="overload",
-            mix=scale_write_weight(self._wanted.mix, OVERLOAD_WRITES),
+            mix=scale_write_weight(self._target.mix, OVERLOAD_WRITE_FACTOR),
             seconds=self._sizes.overload_seconds,
             rate=rate,
             callers=OVERLOAD_CALLERS,
@@ -228,32 +237,32 @@
     def _run(self, name: str, seconds: float, schedule: str) -> RunOutcome:
         plan = RunPlan(
             name=name,
-            mix=self._wanted.mix,
+            mix=self._target.mix,
             seconds=seconds,
             rate=STEADY_RATE,
             callers=STEADY_CALLERS,
             faults=parse_schedule(schedule),
         )
-        with Deployment(self._wanted.shape) as deployment:
+        with Deployment(self._target.shape) as deployment:
             create_tables(deployment)
-            return run_load(deployment, plan, self._folder, say)
+            return run_load(deployment, plan, self._folder, print_progress)
 
 
 def stop_replication(deployment: Deployment) -> None:
-    """Stop the replicas' pulls, so that no replica satisfies a session's read."""
+    """Stop replication, so that no replica is recent enough for a session's read."""
     primaries = {deployment.primary(group).name for group in deployment.shape.groups}
     for standin in deployment.standins:
         if standin.name not in primaries:
             deployment.fault(standin, stop_replication=True)
 
 
-def say(line: str) -> None:
-    """Print a line of progress."""
+def print_progress(line: str) -> None:
+    """Print a progress line."""
     print(f"  {line}", flush=True)
 
 
-def store(name: str, part: str, quick: bool, content: dict[str, Any]) -> None:
-    """Write a part's result with its command and what the machine did besides."""
+def write_part(name: str, part: str, quick: bool, content: dict[str, Any]) -> None:
+    """Write the result of a part with its command and the machine's load average."""
     RESULTS.mkdir(exist_ok=True)
     arguments = f"--deployment {name} --only {part}{' --quick' if quick else ''}"
     document = {
@@ -267,8 +276,8 @@
     path.write_text(json.dumps(document, indent=1) + "\n")
 
 
-def show(name: str, part: str, content: dict[str, Any]) -> None:
-    """Print the figures of one part."""
+def print_part(name: str, part: str, content: dict[str, Any]) -> None:
+    """Print the results of one part."""
     print(f"{name} {part}:")
     match part:
         case "failover":
@@ -299,7 +308,7 @@
 
 
 def violations_in(content: Any) -> dict[str, int]:
-    """Return the violations by rule, over all runs of a part."""
+    """Return the number of violations by rule, summed over all runs of a part."""
     found: dict[str, int] = {}
     if isinstance(content, dict):
         if "by_rule" in content:
@@ -314,12 +323,12 @@
 
 
 def main() -> int:
-    """Measure what the arguments choose."""
+    """Measure the deployments and parts selected by the arguments."""
     arguments = docopt(__doc__ or "")
     names = [arguments["--deployment"]] if arguments["--deployment"] else DEPLOYMENTS
     quick = bool(arguments["--quick"])
     chosen = arguments["--only"].split(",") if arguments["--only"] else None
-    broken = 0
+    parts_with_violations = 0
     with tempfile.TemporaryDirectory(prefix="dogwoodspool-measure-") as folder:
         for name in names:
             sizes = QUICK if quick else FULL
@@ -328,10 +337,10 @@
                 if chosen and part not in chosen:
                     continue
                 content = measure()
-                store(name, part, quick, content)
-                show(name, part, content)
-                broken += bool(violations_in(content))
-    return 1 if broken else 0
+                write_part(name, part, quick, content)
+                print_part(name, part, content)
+                parts_with_violations += bool(violations_in(content))
+    return 1 if parts_with_violations else 0
 
 
 if __name__ == "__main__":
--- a/script/measure_consensus.py
+++ b/script/measure_consensus.py
@@ -52,18 +52,18 @@
 PATH_LOAD: Final = "/measure/load"
 PAYLOAD: Final = "x" * 100
 MICROSECONDS: Final = 1_000_000
-LONGEST_US: Final = 10 * MICROSECONDS
+MAX_LATENCY_US: Final = 10 * MICROSECONDS
 PERCENTILES: Final = (50, 99, 99.9)
 
 
-class CountingMachine:
-    """Count commands."""
+class CountingStateMachine:
+    """State machine that counts the commands applied."""
 
     def __init__(self) -> None:
         self._count = 0
 
     def apply(self, index: int, command: dict[str, Any]) -> dict[str, Any]:
-        """Count one command."""
+        """Apply one command by counting it."""
         self._count += 1
         return {"count": self._count}
 
@@ -72,20 +72,20 @@
         return {"count": self._count}
 
     def restore(self, snapshot: dict[str, Any]) -> None:
-        """Take over a count."""
+        """Restore the count of a snapshot."""
         self._count = snapshot["count"]
 
 
 class LoadGenerator:
-    """Propose from several threads inside the leader's process."""
+    """Propose entries from several threads in the leader's process."""
 
     def __init__(self, node: ConsensusNode) -> None:
         self._node = node
 
     def handle_load(self, request: JsonRequest) -> JsonResponse:
-        """Run one load and return its figures."""
+        """Propose until the time is over; return the rate and latency percentiles."""
         threads, seconds = request.body["threads"], request.body["seconds"]
-        histogram = HdrHistogram(1, LONGEST_US, 3)
+        histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         lock = threading.Lock()
         end = time.monotonic() + seconds
 
@@ -108,12 +108,12 @@
         return JsonResponse({"rate": rate, "latency_ms": latency})
 
     def handle_status(self, request: JsonRequest) -> JsonResponse:
-        """Tell whether this node may answer as leader."""
+        """Report whether this node has leadership."""
         return JsonResponse({"leads": self._node.leadership() is not None})
 
 
 def run_node(name: str, ports: list[int], folder: Path) -> int:
-    """Run one node until a signal comes."""
+    """Run one node until it receives a signal to stop."""
     set_up_logging("measure", name, level="WARNING")
     stop = stop_event_on_signals()
     signer = RequestSigner(KEY)
@@ -122,7 +122,7 @@
         node_id=name,
         address=addresses[name],
         storage=FileLogStorage(folder / name),
-        machine=CountingMachine(),
+        machine=CountingStateMachine(),
         transport=HttpPeerTransport(JsonClient(signer)),
         clock=SystemClock(),
         settings=ConsensusSettings(),
@@ -146,7 +146,7 @@
 
 
 class Measurement:
-    """Start the nodes, load the leader and kill leaders."""
+    """Start the nodes, measure throughput at the leader and kill leaders."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -160,22 +160,22 @@
             self._start(f"n{number}")
 
     def unload(self) -> None:
-        """End the nodes."""
+        """Terminate the nodes."""
         for process in self._processes.values():
             process.terminate()
         for process in self._processes.values():
             process.wait()
 
     def load(self, threads: int, seconds: float) -> dict[str, Any]:
-        """Load the leader with some proposing threads."""
+        """Have the leader propose entries from a number of threads."""
         body = {"threads": threads, "seconds": seconds}
         address = self._address(self._wait_for_leader())
         return self._client.post(address, PATH_LOAD, body, timeout=seconds + 20)
 
     def kill_leader(self) -> float:
-        """Kill the leader; return seconds until another may answer."""
+        """Kill the leader; return the seconds until another node has leadership."""
         name = self._wait_for_leader()
-        # Let each follower hear from it at a random time before the kill.
+        # Vary the time between the last heartbeat at each follower and the kill.
         time.sleep(random.uniform(0.5, 0.7))
         self._processes[name].kill()
         killed_at = time.monotonic()
@@ -205,19 +205,19 @@
                 if answer["leads"]:
                     return name
             time.sleep(0.002)
-        raise ConsensusError("no leader was elected")
+        raise ConsensusError("no leader was elected within 20 s")
 
 
 def measure_fsync(folder: Path, count: int = 200) -> list[float]:
-    """Return the milliseconds of single appends with fsync."""
-    costs: list[float] = []
+    """Return the durations of single appends with fsync in ms, sorted."""
+    durations_ms: list[float] = []
     with (folder / "fsync").open("wb", buffering=0) as file:
         for _ in range(count):
             begun = time.monotonic()
             file.write(b"x" * 200)
             os.fsync(file.fileno())
-            costs.append((time.monotonic() - begun) * 1000)
-    return sorted(costs)
+            durations_ms.append((time.monotonic() - begun) * 1000)
+    return sorted(durations_ms)
 
 
 def main() -> int:
@@ -232,8 +232,11 @@
 
 
 def _measure(folder: Path, seconds: float, kills: int) -> None:
-    costs = measure_fsync(folder)
-    median, high = statistics.median(costs), costs[int(len(costs) * 0.99)]
+    durations_ms = measure_fsync(folder)
+    median, high = (
+        statistics.median(durations_ms),
+        durations_ms[int(len(durations_ms) * 0.99)],
+    )
     print(f"fsync ms: median {median:.3f}, p99 {high:.3f}", flush=True)
     measurement = Measurement(folder)
     measurement.set_up()
--- a/script/measure_slopes.py
+++ b/script/measure_slopes.py
@@ -25,7 +25,7 @@
 
 
 def main() -> int:
-    """Measure what the arguments choose and write it."""
+    """Measure the parts selected by the arguments and write the results."""
     arguments = docopt(__doc__ or "")
     measures: dict[str, Callable[[], Any]] = {
         "saturation": measure_saturation,
--- a/script/prove.py
+++ b/script/prove.py
@@ -1,9 +1,10 @@
-"""Switch each guard off and show that the scenarios which name it then fail.
+"""Disable each guard and check that the scenarios which name it then fail.
 
-A scenario names its guards by tags ``@guard.NAME``; ``features/mutations`` holds what
-switches a guard off in the programs under test. A scenario proves its guard when it
-passes without the mutation and fails with it in an assertion of a ``Then`` step. A
-failure in an earlier step would only show that the mutation broke something else.
+A scenario names its guards in tags ``@guard.NAME``; ``features/mutations`` contains
+the mutations that disable a guard in the programs under test. A scenario proves its
+guard if it passes without the mutation and, with it, fails in an assertion of a
+``Then`` step. A failure in an earlier step would show only that the mutation broke
+something else.
 """
 
 import json
@@ -36,8 +37,8 @@
 FAILED: Final = "failed"
 PROVED: Final = "proved"
 SURVIVED: Final = "SURVIVED"
-RED: Final = "RED WITHOUT MUTATION"
-BROKEN: Final = "BROKEN BY MUTATION"
+FAILED_UNMUTATED: Final = "RED WITHOUT MUTATION"
+FAILED_ELSEWHERE: Final = "BROKEN BY MUTATION"
 UNGUARDED: Final = "NO GUARD NAMED"
 MISSING: Final = "NO SCENARIO"
 
@@ -53,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a scenario ended, and in which kind of step."""
+    """Result of a scenario, and the type of the step that did not pass."""
 
     status: str
     step_type: str = ""
     message: str = ""
 
     @property
-    def is_refuted(self) -> bool:
-        """Tell whether what the scenario claims turned out wrong."""
+    def has_failed_assertion(self) -> bool:
+        """Return whether the scenario failed in an assertion of a ``Then`` step."""
         return self.status == FAILED and self.step_type == "then"
 
 
 @dataclass(frozen=True, slots=True)
 class Proof:
-    """One row of the table."""
+    """Verdict on one guard in one scenario: a row of the printed table."""
 
     point: str
     guard: str
@@ -77,7 +78,7 @@
 
 
 def scenarios_by_point() -> dict[str, list[ProofScenario]]:
-    """Read which scenarios each point has."""
+    """Return the scenarios of each point."""
     found: dict[str, list[ProofScenario]] = {point: [] for point in POINTS}
     for path in sorted(FEATURES.rglob("*.feature")):
         feature = parse_file(str(path))
@@ -96,7 +97,7 @@
 
 
 def run(tags: str, mutation: str | None = None) -> dict[str, Outcome]:
-    """Run the scenarios that an expression of tags chooses; by location."""
+    """Run the scenarios that a tag expression selects; return outcomes by location."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [
@@ -114,12 +115,12 @@
         )
         text = report.read_text() if report.exists() else ""
     if not text.strip():
-        raise SystemExit(f"behave gave no report:\n{finished.stdout}{finished.stderr}")
+        raise SystemExit(f"behave wrote no report:\n{finished.stdout}{finished.stderr}")
     return dict(_outcomes(json.loads(text)))
 
 
 def prove(point: str, scenarios: list[ProofScenario]) -> Iterator[Proof]:
-    """Prove one point, scenario by scenario."""
+    """Check the guards of all scenarios of one point."""
     if not scenarios:
         yield Proof(point, "", "", MISSING)
         return
@@ -135,7 +136,7 @@
 
 
 def main() -> int:
-    """Prove what the arguments choose and print a table."""
+    """Check the points selected by the arguments and print a table."""
     chosen = [argument.removeprefix("@") for argument in sys.argv[1:]] or list(POINTS)
     unknown = set(chosen) - set(POINTS)
     if unknown:
@@ -174,12 +175,12 @@
     after = mutated.get(scenario.location, Outcome("not run"))
     verdict, detail = PROVED, ""
     if before.status != PASSED:
-        verdict, detail = RED, f"{before.status}: {before.message}"
+        verdict, detail = FAILED_UNMUTATED, f"{before.status}: {before.message}"
     elif after.status == PASSED:
         verdict = SURVIVED
-    elif not after.is_refuted:
+    elif not after.has_failed_assertion:
         where = f"{after.status} in a step of type '{after.step_type}'"
-        verdict, detail = BROKEN, f"{where}: {after.message}"
+        verdict, detail = FAILED_ELSEWHERE, f"{where}: {after.message}"
     return Proof(point, guard, scenario.name, verdict, detail)
 
 
--- a/script/run_tests.py
+++ b/script/run_tests.py
@@ -1,4 +1,4 @@
-"""Run unit tests and scenarios and close with one line of totals."""
+"""Run unit tests and scenarios and print one line of totals at the end."""
 
 import io
 import json
@@ -28,7 +28,7 @@
 
 
 class RecordingResult(unittest.TextTestResult):
-    """Remember the name of each test with its outcome."""
+    """Test result that also records the names of passed tests."""
 
     def __init__(self, *args: object, **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
@@ -41,7 +41,7 @@
 
 
 def run_unit_tests() -> Totals:
-    """Run the classes under tests/."""
+    """Run the unit tests under tests/."""
     suite = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=ROOT)
     runner = unittest.TextTestRunner(resultclass=RecordingResult, verbosity=1)
     result = runner.run(suite)
@@ -52,7 +52,7 @@
 
 
 def run_scenarios(arguments: list[str]) -> Totals:
-    """Run behave over features/ and read its outcome from its JSON report."""
+    """Run behave on features/ and read the outcomes from its JSON report."""
     if not any((ROOT / "features").rglob("*.feature")):
         return Totals((), ())
     with tempfile.TemporaryDirectory() as folder:
@@ -92,7 +92,7 @@
 
 
 def known_red_names() -> set[str]:
-    """Read the names of tests whose failure stands for a known fault."""
+    """Return the names of the tests whose failure is a known fault."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -100,7 +100,7 @@
 
 
 def main() -> int:
-    """Run what the arguments choose."""
+    """Run all tests, or with arguments for behave only the selected scenarios."""
     arguments = sys.argv[1:]
     totals = Totals((), ())
     if not arguments:
