--- a/packages/proxy/src/dogwoodspool_proxy/reads.py
+++ b/packages/proxy/src/dogwoodspool_proxy/reads.py
@@ -190,7 +190,7 @@
                 "begin a new session"
             )
             return Error(not_run(ER_SESSION_REFUSED, message))
-        message = "the session has a newer term than this proxy's view"
+        message = "this proxy does not know the session's newer term yet"
         return Error(no_primary(message, NEWER_SESSION_RETRY_AFTER_MS))
 
     def _open_chosen(
