--- a/packages/limits/src/dogwoodspool_limits/concurrency.py
+++ b/packages/limits/src/dogwoodspool_limits/concurrency.py
@@ -119,8 +119,8 @@
             self._limit = min(self._limit, float(self._ceiling)) + 1
 
     def _scale(self, factor: float) -> None:
-        in_force = min(self._limit, float(self._ceiling))
-        self._limit = max(float(MIN_LIMIT), in_force * factor)
+        effective_limit = min(self._limit, float(self._ceiling))
+        self._limit = max(float(MIN_LIMIT), effective_limit * factor)
 
 
 class _LowestLatency:
