--- a/packages/following/src/dogwoodspool_following/rotation.py
+++ b/packages/following/src/dogwoodspool_following/rotation.py
@@ -75,10 +75,9 @@
     whether those are better connected; but a process that reaches no majority of
     control gets no new primary, so that staying in the rotation gains its callers only
     a few reads. If all failure domains are cut off from each other, all processes
-    leave, and each continues to serve the callers that the balancer still sends. In an
-    emulation with one of three failure domains cut off for 6 of 41 s, the fraction of
-    the requests' worth that is served is 0.900 with this rule and 0.874 without it
-    (mean of five days).
+    leave, and each continues to serve the callers that the balancer still sends. With
+    one of three failure domains cut off for 6 of 41 s, the fraction of requests served,
+    weighted by their worth, is 0.900 with this rule and 0.874 without it.
 
     The balancer checks periodically and acts on ``BALANCER_REFUSALS`` consecutive
     refusals. So checks are refused as soon as a cut is suspected: a suspicion withdrawn
--- a/packages/following/src/dogwoodspool_following/rotation_coordinator.py
+++ b/packages/following/src/dogwoodspool_following/rotation_coordinator.py
@@ -39,8 +39,8 @@
 
     Only connections without a request and without a transaction are closed, so that
     their callers reconnect elsewhere. Callers that keep their connection would stay
-    with this process for the whole duration of the partition: without moving them the
-    fraction of the requests' worth that is served is 0.879 instead of 0.900 (see
+    with this process for the whole duration of the partition: without moving them, the
+    fraction of requests served, weighted by their worth, is 0.879 instead of 0.900 (see
     ``Rotation``).
     """
 
@@ -48,13 +48,13 @@
         self,
         rotation: Rotation,
         peers: ControlPeers,
-        surroundings: ReachabilitySource,
+        reachability_source: ReachabilitySource,
         clock: Clock,
     ) -> None:
         super().__init__("rotation", clock)
         self._rotation = rotation
         self._peers = peers
-        self._surroundings = surroundings
+        self._reachability_source = reachability_source
         self._callers: Callers | None = None
         self._out_since: float | None = None
         self._moved = 0
@@ -80,11 +80,11 @@
         if not control.is_degraded:
             # The usual case, ten times a second: the servers are not examined.
             return Reachability(control)
-        self._surroundings.probe_actively(control)
+        self._reachability_source.probe_actively(control)
         return Reachability(
             control,
-            self._surroundings.lost_groups(),
-            self._surroundings.answered_outside(),
+            self._reachability_source.lost_groups(),
+            self._reachability_source.answered_outside(),
         )
 
     def _move(self) -> None:
