--- a/packages/pooler/src/dogwoodspool_pooler/access.py
+++ b/packages/pooler/src/dogwoodspool_pooler/access.py
@@ -46,7 +46,7 @@
 
 
 class ServerAccess:
-    """Admit requests and lend them this process's connections.
+    """Admit requests and provide them with this process's connections.
 
     Implements ``ConnectionAccess``. The outcome of each request updates what is known
     of the server: its latency, failures, stalled writes and log position.
@@ -225,7 +225,7 @@
     def record_no_answer(self, server: BackendServer, error: BackendError) -> None:
         """Record that a statement got no answer or that its connection had ended.
 
-        This only has the server probed at once and does not mark it as failing:
+        The server is probed at once, but not marked as failing by this alone:
         healthy servers lose connections and have slow statements, too.
         """
         log_rate_limited("server_failed", server=server.name, reason=error)
--- a/packages/pooler/src/dogwoodspool_pooler/const.py
+++ b/packages/pooler/src/dogwoodspool_pooler/const.py
@@ -6,11 +6,11 @@
 # server. One that would wait longer is refused at once with a retry time, so that its
 # caller can use the share of another proxy.
 WAIT_SHARE: Final = 0.25
-# Part of a read's remaining time that its first attempt gets: a dead connection shows
-# only by the missing answer, and time must be left to try another server.
+# Part of a read's remaining time that its first attempt gets: a broken connection is
+# detected only by the missing answer, and time must be left to try another server.
 READ_ATTEMPT_SHARE: Final = 0.4
 # Part of its remaining time that a read at the primary gets. A primary that stopped
-# answering shows by nothing else, and this leaves its caller time for a retry.
+# answering is detected only by this timeout, and its caller needs time for a retry.
 PRIMARY_READ_SHARE: Final = 0.7
 MAX_READ_ATTEMPTS: Final = 4
 MAX_WRITE_ATTEMPTS: Final = 4
@@ -24,7 +24,7 @@
 # Least time between two freshness marks, and the time for which they are kept, which
 # is longer than the greatest data age that any endpoint accepts.
 FRESHNESS_MARK_SPACING_SECONDS: Final = 0.05
-FRESHNESS_MARK_LIFE_SECONDS: Final = 10.0
+FRESHNESS_MARK_RETENTION_SECONDS: Final = 10.0
 
 # Pause before a server that lacked a position is tried again: at first about the usual
 # replication lag, then doubled each time up to a part of the data age that reads
@@ -61,7 +61,7 @@
 CONNECTION_RETRY_SECONDS: Final = 0.05
 # Idle time after which the last connection of a pool and those beyond it (surplus
 # connections) are closed. After many proxies lose power, the servers still count their
-# connections for some seconds, and that many are missing once the proxies are back. One
+# connections for some seconds, and the restarted proxies cannot use that many. One
 # connection is kept for occasional callers; surplus connections are closed after the
 # duration of a few statements.
 IDLE_EXPIRY_SECONDS: Final = 1.0
@@ -71,7 +71,7 @@
 EXPIRY_CHECK_SECONDS: Final = 0.15
 CONNECT_TIMEOUT: Final = 0.5
 CHECK_TIMEOUT: Final = 0.25
-# Idle time after which a connection is pinged before its use: it may have died
+# Idle time after which a connection is pinged before its use: it may have been lost
 # unnoticed meanwhile, and the outcome of a write sent on it would be in doubt.
 CHECK_AFTER_IDLE: Final = 1.0
 RESET_TIMEOUT: Final = 0.3
--- a/packages/pooler/src/dogwoodspool_pooler/freshness.py
+++ b/packages/pooler/src/dogwoodspool_pooler/freshness.py
@@ -5,7 +5,7 @@
 
 from dogwoodspool_common import Clock, Position
 
-from .const import FRESHNESS_MARK_LIFE_SECONDS, FRESHNESS_MARK_SPACING_SECONDS
+from .const import FRESHNESS_MARK_RETENTION_SECONDS, FRESHNESS_MARK_SPACING_SECONDS
 
 
 class FreshnessTracker:
@@ -38,7 +38,7 @@
             if marks and asked_at - marks[-1][0] < FRESHNESS_MARK_SPACING_SECONDS:
                 return
             marks.append((asked_at, position))
-            oldest = self._clock.now() - FRESHNESS_MARK_LIFE_SECONDS
+            oldest = self._clock.now() - FRESHNESS_MARK_RETENTION_SECONDS
             while marks[0][0] < oldest:
                 marks.popleft()
 
--- a/packages/pooler/src/dogwoodspool_pooler/placement.py
+++ b/packages/pooler/src/dogwoodspool_pooler/placement.py
@@ -22,10 +22,10 @@
     read stays in its failure domain and off the primary until the queueing time there
     exceeds the penalty for going elsewhere.
 
-    In a replayed load with 1.4 times a server's capacity arriving in one failure domain
-    and 0.2 times in two others, all reads end within 0.25 s; 24 % do if every read
-    stays in its domain. At 0.4 times the capacity in every domain 87 % of the reads
-    stay in their domain, against 33 % with round-robin placement.
+    With 1.4 times a server's capacity arriving in one failure domain and 0.2 times in
+    two others, all reads end within 0.25 s, against 24 % if every read stays in its
+    domain. At 0.4 times the capacity in every domain 87 % of the reads stay in their
+    domain, against 33 % with round-robin placement.
     """
     usable = [
         one
--- a/packages/pooler/src/dogwoodspool_pooler/primaries.py
+++ b/packages/pooler/src/dogwoodspool_pooler/primaries.py
@@ -143,7 +143,7 @@
         return None
 
     def _wait_for_newer_view(self, request: Request, version: int) -> bool:
-        """Wait for a newer view if a promotion is in progress; return if one came.
+        """Wait for a newer view if a promotion is in progress; return whether it came.
 
         If no promotion has begun yet, its end is further away than a request may wait,
         so the caller is told at once to retry later.
--- a/packages/pooler/src/dogwoodspool_pooler/reads.py
+++ b/packages/pooler/src/dogwoodspool_pooler/reads.py
@@ -135,14 +135,16 @@
         began before.
         """
         held, reply = self._primaries.run_idempotent(
-            request, lambda one: self._read_fenced(one, request)
+            request, lambda one: self._read_in_transaction(one, request)
         )
         held.finish(is_good=reply.state is not TransactionState.FAILED)
         if reply.error is None:
             self._counters.read_served(request.endpoint.group, by_primary=True)
         return reply
 
-    def _read_fenced(self, held: LocalHeldConnection, request: Request) -> Reply:
+    def _read_in_transaction(
+        self, held: LocalHeldConnection, request: Request
+    ) -> Reply:
         now = self._clock.now()
         begun = self._access.begin_on_primary(held, request)
         if begun.error is not None:
--- a/packages/pooler/src/dogwoodspool_pooler/reporting.py
+++ b/packages/pooler/src/dogwoodspool_pooler/reporting.py
@@ -30,7 +30,7 @@
     would be most of the leader's load.
 
     A server that is only suspected makes this process call the leader as well: if
-    neither of them answers, this process itself may be cut off and must find out.
+    neither of them answers, this process itself may be cut off and must detect it.
     """
 
     def __init__(
--- a/packages/pooler/src/dogwoodspool_pooler/shared/const.py
+++ b/packages/pooler/src/dogwoodspool_pooler/shared/const.py
@@ -10,7 +10,7 @@
 # Requests of neighbours, not counting those of open transactions, that an owner serves
 # at a time: more than it may have in flight on the servers of a few groups.
 NEW_REQUESTS: Final = 48
-# Neighbours are in the same failure domain, tenths of a millisecond away.
+# Neighbours are in the same failure domain, with a latency of tenths of a millisecond.
 OWNER_CONNECT_TIMEOUT: Final = 0.15
 # Time within which an owner's machine must acknowledge a request, also while the owner
 # waits for a server: longer than the retransmission of one lost packet takes (0.2 s).
--- a/tests/pooler/shared/test_connection_load.py
+++ b/tests/pooler/shared/test_connection_load.py
@@ -147,10 +147,10 @@
     """Connections opened per request must not grow with the number of proxies."""
 
     def test_separate_pools_do_not_scale_to_many_proxies(self) -> None:
-        """Show the load: with many proxies most requests open one or are refused.
+        """With many proxies, most requests open a connection or are refused.
 
-        Each proxy has a pool of its own here, so that this is the comparison for the
-        shared pools below.
+        Each proxy has a pool of its own here, for comparison with the shared pools
+        below.
         """
         few = Replay(12, 117, is_shared=False).run()
         many = Replay(192, 117, is_shared=False).run()
@@ -160,7 +160,7 @@
         self.assertGreater(too_many.refused / too_many.requests, 0.3)
 
     def test_shared_pools_scale_to_many_proxies(self) -> None:
-        """Guard against connections that grow with the number of a server's proxies."""
+        """Guard against more connections per request as proxies are added."""
         outcomes = [
             Replay(proxies, 35, is_shared=True).run() for proxies in (72, 192, 600)
         ]
--- a/tests/pooler/shared/test_group_limits.py
+++ b/tests/pooler/shared/test_group_limits.py
@@ -39,8 +39,8 @@
 
     def test_the_lowest_of_each_limit_is_used(self) -> None:
         other = replace(FIRST, name="s2", slots=8, connections=20)
-        told = self.limits(FIRST, other)
-        self.assertEqual(told, {"chat": ServerLimits(slots=3, connections=20)})
+        limits = self.limits(FIRST, other)
+        self.assertEqual(limits, {"chat": ServerLimits(slots=3, connections=20)})
 
     def test_groups_of_unknown_connections_are_left_out(self) -> None:
         self.assertEqual(self.limits(replace(FIRST, connections=0)), {})
--- a/tests/pooler/test_overload.py
+++ b/tests/pooler/test_overload.py
@@ -53,12 +53,12 @@
         admission_request = AdmissionRequest(
             1, {}, self.pooler.clock.now() + 1.0, 1_000.0
         )
-        for orders in ([], [Statement(StatementKind.BEGIN)]):
+        for statements in ([], [Statement(StatementKind.BEGIN)]):
             held = self.pooler.access.open_local(
                 self.primary.as_backend_server(), admission_request
             )
-            for order in orders:
-                held.run_internal(order, 1_000.0)
+            for statement in statements:
+                held.run_internal(statement, 1_000.0)
             held.finish(is_good=True)
         self.assertEqual(self.backend().admission.service_time, before)
 
--- a/tests/pooler/test_reads.py
+++ b/tests/pooler/test_reads.py
@@ -97,8 +97,8 @@
         for _ in range(20):
             self.assertIsNone(run_text(session, "READ k").error)
             pooler.clock.advance(0.01)
-        asked = pooler.network.servers["s2"].refused_as_behind
-        self.assertLessEqual(asked, 3)
+        refusals = pooler.network.servers["s2"].refused_as_behind
+        self.assertLessEqual(refusals, 3)
         pooler.clock.advance(MAX_LAG_RECHECK_SECONDS)
         pooler.network.servers["s2"].position = Position(3, 500)
         run_text(session, "READ k")
--- a/tests/pooler/test_recovery.py
+++ b/tests/pooler/test_recovery.py
@@ -31,7 +31,7 @@
             self.pooler.views, self.registry, self.table, self.pooler.clock
         )
 
-    def note_failure(self) -> None:
+    def record_server_failure(self) -> None:
         self.table.record_failure("s1")
         self.prober.suspect("s1")
 
@@ -41,13 +41,13 @@
         return known.is_failing
 
     def test_a_server_that_answers_is_used_again(self) -> None:
-        self.note_failure()
+        self.record_server_failure()
         self.prober.step()
         self.assertFalse(self.is_failing())
 
     def test_a_server_that_is_down_is_probed_again(self) -> None:
         self.pooler.network.servers["s1"].is_down = True
-        self.note_failure()
+        self.record_server_failure()
         self.prober.step()
         self.assertTrue(self.is_failing())
         self.pooler.network.servers["s1"].is_down = False
@@ -55,18 +55,20 @@
         self.assertFalse(self.is_failing())
 
     def test_a_failure_during_a_probe_is_followed_by_another_probe(self) -> None:
-        # Guards against a proxy that refuses all writes of a group for good, as seen
-        # after a power loss. A statement fails while its server is being probed for
-        # another failure: the probe succeeds, the statement then records the server as
-        # failing, and it is not probed again. A failing server gets no statements that
-        # could show that it works.
-        network = _FailingNetwork(self.pooler.network, during_connect=self.note_failure)
+        # Guards against a proxy that refuses all writes of a group for good after a
+        # power loss. A statement fails while its server is being probed for another
+        # failure: the probe succeeds, the statement then records the server as failing,
+        # and it is not probed again. A failing server gets no statements that could
+        # show that it works.
+        network = _FailingNetwork(
+            self.pooler.network, during_connect=self.record_server_failure
+        )
         registry = BackendRegistry(self.pooler.views, network, self.pooler.clock)
         prober = RecoveryProber(
             self.pooler.views, registry, self.table, self.pooler.clock
         )
         self.prober = prober
-        self.note_failure()
+        self.record_server_failure()
         prober.step()
         # Recorded late, as by a thread that was delayed meanwhile.
         self.table.record_failure("s1")
