--- a/tests/gateway/test_listener.py
+++ b/tests/gateway/test_listener.py
@@ -306,8 +306,8 @@
         super().setUp()
 
     def test_tls_record_sent_with_the_tls_request_is_not_lost(self) -> None:
-        # TLS handshakes of fast callers failed intermittently, because their first
-        # TLS record was read together with the TLS request.
+        # Guards against TLS handshakes that fail intermittently for fast callers, when
+        # their first TLS record is read together with the TLS request.
         with socket.create_connection(("127.0.0.1", self.listener.address.port)) as raw:
             raw.recv(4096)
             incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
