--- a/packages/following/src/dogwoodspool_following/open_sessions.py
+++ b/packages/following/src/dogwoodspool_following/open_sessions.py
@@ -46,11 +46,11 @@
             session.expire_transaction()
         return REAP_INTERVAL_SECONDS
 
-    def _keep(self, session: SessionT) -> SessionT:
+    def _track_session(self, session: SessionT) -> SessionT:
         with self._lock:
             self._open.add(session)
         return session
 
-    def _forget(self, session: SessionT) -> None:
+    def _remove_session(self, session: SessionT) -> None:
         with self._lock:
             self._open.discard(session)
--- a/packages/pooler/src/dogwoodspool_pooler/sessions.py
+++ b/packages/pooler/src/dogwoodspool_pooler/sessions.py
@@ -52,6 +52,6 @@
             self._transactions,
             self._counters,
             self._clock,
-            self._forget,
+            self._remove_session,
         )
-        return self._keep(session)
+        return self._track_session(session)
--- a/packages/proxy/src/dogwoodspool_proxy/sessions.py
+++ b/packages/proxy/src/dogwoodspool_proxy/sessions.py
@@ -41,9 +41,9 @@
             self._transactions,
             self._counters,
             self._clock,
-            self._forget,
+            self._remove_session,
         )
-        return self._keep(session)
+        return self._track_session(session)
 
     def password_hash(self, user: str) -> str | None:
         """Return the caller's password hash in the settings in force."""
--- a/tests/following/test_open_sessions.py
+++ b/tests/following/test_open_sessions.py
@@ -22,11 +22,11 @@
 
     def open(self) -> FakeSession:
         """Return a new session."""
-        return self._keep(FakeSession())
+        return self._track_session(FakeSession())
 
     def close(self, session: FakeSession) -> None:
         """Remove a session, as its end does."""
-        self._forget(session)
+        self._remove_session(session)
 
 
 class OpenSessionsTests(unittest.TestCase):
