--- a/packages/proxy/src/dogwoodspool_proxy/const.py
+++ b/packages/proxy/src/dogwoodspool_proxy/const.py
@@ -35,9 +35,9 @@
 FAILING_PROBE_SECONDS: Final = 0.1
 FAILING_RENEW_SECONDS: Final = 0.1
 
-# Transactions may hold every connection for a long time. A connection share that can
-# grow has grown within this time; a caller that would wait longer is refused and told
-# when to retry.
+# Transactions may hold every connection for a long time. If the connection share can
+# grow, it does so within this time; a caller that would wait longer is refused with a
+# retry time.
 MAX_CONNECTION_WAIT_SECONDS: Final = 0.7
 REPLICA_PROBE_FACTOR: Final = 4
 SHARE_EXPIRY_MARGIN_SECONDS: Final = RENEW_TIMEOUT_SECONDS + RETRY_PAUSE_SECONDS
