--- a/packages/pooler/src/dogwoodspool_pooler/known_primaries.py
+++ b/packages/pooler/src/dogwoodspool_pooler/known_primaries.py
@@ -32,7 +32,7 @@
         found = self._history.candidates(view.groups.get(group), servers)
         return [one for one in found if self._accepts_work(one.name)]
 
-    def record_refusal_to_lead(self, group: str, server: str) -> None:
+    def record_not_primary(self, group: str, server: str) -> None:
         """Record that a server answered that it is not the primary."""
         self._refusals[group] = (server, self._views.view.version)
 
--- a/packages/pooler/src/dogwoodspool_pooler/primaries.py
+++ b/packages/pooler/src/dogwoodspool_pooler/primaries.py
@@ -124,7 +124,7 @@
                 server=server.name,
                 view=self._views.view.version,
             )
-            self._known.record_refusal_to_lead(request.endpoint.group, server.name)
+            self._known.record_not_primary(request.endpoint.group, server.name)
             held.finish(is_good=True)
             return None
         return held, reply
@@ -146,7 +146,7 @@
         """Wait for a newer view if a promotion is in progress; return whether it came.
 
         If no promotion has begun yet, its end is further away than a request may wait,
-        so the caller is told at once to retry later.
+        so the caller is refused at once with a retry time.
         """
         if not self._is_promoting(request.endpoint.group):
             return False
