--- a/features/mutations/guards/answers.py
+++ b/features/mutations/guards/answers.py
@@ -9,8 +9,8 @@
     """Use a connection again after a wait for its answer ended."""
     from dogwoodspool_backend import ConnectionPool
     from dogwoodspool_backend.connection import BackendConnection
-    from dogwoodspool_backend.health import ConnectionHealth
     from dogwoodspool_backend.wire import Wire
+    from dogwoodspool_connections.health import ConnectionHealth
 
     original = ConnectionPool.release
 
--- a/features/mutations/guards/promotions.py
+++ b/features/mutations/guards/promotions.py
@@ -76,10 +76,10 @@
     """Leave alone what an earlier leader has begun."""
     from dogwoodspool_control.leader import LeaderLoop
 
-    original = LeaderLoop._begin
+    original = LeaderLoop.begin_leadership
 
-    def _begin(self: Any, leadership: Any) -> None:
-        original(self, leadership)
+    def begin_leadership(self: Any) -> None:
+        original(self)
         begun = set(self._state.promotions)
         run_missing = type(self._promotions).run_missing
 
@@ -89,7 +89,7 @@
 
         self._promotions.run_missing = run_own
 
-    LeaderLoop._begin = _begin
+    LeaderLoop.begin_leadership = begin_leadership
 
 
 GUARDS = (
--- a/features/mutations/guards/transactions.py
+++ b/features/mutations/guards/transactions.py
@@ -7,7 +7,7 @@
 
 def dirty_connection_reused() -> None:
     """Give a connection back as it is, also inside a transaction."""
-    from dogwoodspool_backend.health import ConnectionHealth
+    from dogwoodspool_connections.health import ConnectionHealth
     from dogwoodspool_proxy.transactions import TransactionPath
 
     def end(self: Any, caller: Any) -> None:
@@ -25,7 +25,7 @@
 
 def connection_shared() -> None:
     """Give the connection back between a transaction's statements."""
-    from dogwoodspool_backend.health import ConnectionHealth
+    from dogwoodspool_connections.health import ConnectionHealth
     from dogwoodspool_gateway import DoneAnswer
     from dogwoodspool_proxy.transactions import TransactionPath
 
