--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,8 +1,8 @@
 @at-most-once
 Feature: A request that must not repeat runs at most once
 
-  An application that got no answer sends its line again, with the same request id,
-  wherever the balancer leads it. A doubled line can mean a refund promised twice.
+  An application that got no answer sends its write again with the same request id,
+  at whichever proxy the balancer picks. A doubled line can be a refund promised twice.
 
   @guard.request-row-skipped
   Scenario: The same request again at another proxy
@@ -15,8 +15,8 @@
 
   @guard.request-row-skipped
   Scenario: The same request again after its proxy died before it could answer
-    The write has committed at the primary and waits for a replica, when its proxy
-    is killed.
+    The write has committed at the primary and waits for a replica's acknowledgement;
+    its proxy is killed meanwhile.
 
     Given the setting "write_ack_timeout_ms" is 20000
     And a proxy that can be ended
@@ -63,8 +63,8 @@
 
   @guard.silence-told-as-not-run
   Scenario: A write whose connection falls silent is unknown
-    Something between the two ends has lost track of the connection. The answer
-    never comes; an application that is told "not run" would send the line again.
+    A device between the two ends has lost its connection state. The answer never
+    arrives; an application that is told "not run" would send the line again.
 
     Given statements take 300 ms at every backend server
     And a caller "agent" at proxy 1
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Deployments and callers around features and scenarios."""
+"""Set up and tear down deployments around features and scenarios."""
 
 import itertools
 import os
@@ -17,12 +17,12 @@
 
 
 def before_all(context: Context) -> None:
-    """Have the programs load a mutation where ``script/prove`` asks for one.
+    """Make the programs load a mutation when ``script/prove`` requests one.
 
-    Python loads ``sitecustomize`` from the path at each program's start; nothing
-    of it is part of the programs.
+    Python loads ``sitecustomize`` from the path at each program's start; it
+    is not part of the programs.
     """
-    context.numbers = itertools.count(1)
+    context.table_numbers = itertools.count(1)
     mutation = context.config.userdata.get(OPTION_MUTATION)
     if mutation:
         os.environ["PYTHONPATH"] = str(MUTATIONS)
@@ -31,33 +31,33 @@
 
 def before_feature(context: Context, feature: Feature) -> None:
     """Start the deployment that the feature's scenarios share."""
-    context.shared = None
+    context.shared_deployment = None
     if any(_runs_on_shared(context, scenario) for scenario in feature.walk_scenarios()):
-        context.shared = _start(feature.tags)
+        context.shared_deployment = _start_deployment(feature.tags)
 
 
 def after_feature(context: Context, feature: Feature) -> None:
-    """End the shared deployment."""
-    if context.shared is not None:
-        context.shared.unload()
+    """Stop the shared deployment."""
+    if context.shared_deployment is not None:
+        context.shared_deployment.unload()
 
 
 def before_scenario(context: Context, scenario: Scenario) -> None:
-    """Give the scenario its world."""
-    context.own = None
+    """Create the scenario's world on its own or the shared deployment."""
+    context.own_deployment = None
     if TAG_OWN_DEPLOYMENT in scenario.effective_tags:
-        context.own = _start(scenario.effective_tags)
-    deployment = context.own or context.shared
-    context.world = World(deployment, next(context.numbers))
+        context.own_deployment = _start_deployment(scenario.effective_tags)
+    deployment = context.own_deployment or context.shared_deployment
+    context.world = World(deployment, next(context.table_numbers))
     context.world.set_up()
 
 
 def after_scenario(context: Context, scenario: Scenario) -> None:
-    """Put back what the scenario has changed."""
-    if context.own is not None:
+    """Stop the scenario's own deployment, or restore the shared one."""
+    if context.own_deployment is not None:
         for caller in context.world.callers.values():
             caller.close()
-        context.own.unload()
+        context.own_deployment.unload()
     else:
         context.world.unload()
 
@@ -67,7 +67,7 @@
     return not is_own and scenario.should_run(context.config)
 
 
-def _start(tags: Iterable[str]) -> Deployment:
+def _start_deployment(tags: Iterable[str]) -> Deployment:
     deployment = Deployment(shape_for(frozenset(tags)))
     try:
         deployment.set_up()
--- a/features/graceful_shutdown.feature
+++ b/features/graceful_shutdown.feature
@@ -1,8 +1,8 @@
 @graceful-shutdown
 Feature: A graceful shutdown of a proxy cuts no request in flight
 
-  Operators replace proxies during the day. A request that is cut leaves its caller
-  without knowing whether its trial record was stored.
+  Operators replace proxies while they serve traffic. The caller of a request that is
+  cut off cannot know whether its trial record was stored.
 
   Background:
     Given a proxy that can be ended
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,8 +1,8 @@
 @leaving
 Feature: A backend server that is leaving gets no new work
 
-  An operator stops a server for repair. It announces that it leaves, and is stopped
-  a few seconds later; a statement that still reaches it then is lost.
+  An operator stops a server for maintenance. It announces that it is leaving and is
+  stopped a few seconds later; a statement that reaches it after that is lost.
 
   @guard.leaving-ignored
   Scenario: No new statement reaches a replica that leaves
@@ -26,8 +26,8 @@
 
   @own-deployment @guard.leaving-primary-stays
   Scenario: No new statement reaches a primary that leaves
-    Writes go on at another primary, so that the old one can be stopped without a
-    loss and without the gap of a failure.
+    Writes continue at another primary, so that the old one can be stopped without
+    losing writes and without the interruption of an unplanned failover.
 
     Given a caller that writes all the time
     When the primary announces that it leaves
--- a/features/membership.feature
+++ b/features/membership.feature
@@ -1,12 +1,12 @@
 @membership
 Feature: Backend servers announce themselves, and no list of them exists
 
-  What is announced is used, what has gone is dropped, and a bad link of one observer
-  changes nothing for the others.
+  Announced servers are used, servers that are gone are removed, and an unreliable
+  link of one observer does not affect the others.
 
   @guard.late-announcements-ignored
   Scenario: A new backend server is used once it has announced itself
-    An operator starts one more replica. Nobody tells the proxies of it.
+    An operator starts one more replica, which is not configured at any proxy.
 
     Given 3 callers that read all the time
     When one more replica "orders-4" is started
@@ -15,8 +15,8 @@
 
   @guard.new-addresses-ignored
   Scenario: A backend server that starts again at another port is used again
-    The platform moved it. Proxies that keep to the old address lose a replica for
-    good, and with the last one every failover.
+    The platform has moved it. Proxies that keep the old address lose this replica
+    permanently, and without any replica no failover is possible.
 
     Given "orders-1" has been made the primary
     And 3 callers that read all the time
@@ -27,8 +27,8 @@
 
   @guard.one-observer-suffices
   Scenario: One observer's flapping link changes nothing
-    The link from one failure domain to the primary goes down and up. Each time that
-    were believed, callers everywhere would wait for a failover.
+    The link from one failure domain to the primary goes down and up. If this one
+    observer sufficed, callers everywhere would wait for a failover each time.
 
     Given "orders-1" has been made the primary
     And a caller "agent" at proxy 1
@@ -39,8 +39,8 @@
 
   @guard.replica-chosen-blindly @guard.satisfies-always
   Scenario: A replica that is far behind is neither read from nor promoted
-    It would show an agent an inbox without their last lines, and as primary it would
-    make that the truth.
+    A read from it would return an agent's inbox without the last lines; as primary it
+    would lose those lines permanently.
 
     Given "orders-1" has been made the primary
     And a caller "agent" at proxy 1
@@ -58,8 +58,8 @@
 
   @guard.silent-servers-kept @guard.silent-primary-dropped
   Scenario: A replica that is silent for long is dropped and a primary is not
-    A replica is gone for good. Of the other group all servers are lost at once: were
-    its primary dropped like the replica, nothing would know where its data is.
+    A replica is gone permanently. All servers of the other group are lost at once: if
+    its primary were removed too, no record would say which server holds its data.
 
     Given "orders-1" has been made the primary
     When the replica "orders-3" is killed
--- a/features/mutations/guards/__init__.py
+++ b/features/mutations/guards/__init__.py
@@ -1,7 +1,7 @@
 """Guards of the programs, each with the change that switches it off.
 
-A module for each point of what must always hold. Nothing of a program is imported
-before a guard of it is switched off.
+There is one module per guaranteed property. The modules of a program are imported
+only when one of its guards is switched off.
 """
 
 from . import (
--- a/features/mutations/guards/answers.py
+++ b/features/mutations/guards/answers.py
@@ -1,4 +1,4 @@
-"""Guards of whole answers."""
+"""Guards of complete answers."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def late_answer_kept() -> None:
-    """Use a connection again after a wait for its answer ended."""
+    """Reuse a connection after the wait for its answer has timed out."""
     from dogwoodspool_backend import ConnectionPool
     from dogwoodspool_backend.connection import BackendConnection
     from dogwoodspool_backend.wire import Wire
@@ -26,7 +26,7 @@
 
 
 def broken_result_ended() -> None:
-    """End a result that broke off as if it were whole."""
+    """End a truncated result as if it were complete."""
     from dogwoodspool_gateway.fetched import FetchedRows
 
     def take(self: Any) -> None:
@@ -37,7 +37,7 @@
 
 
 def results_buffered() -> None:
-    """Read a result to its end before its first row goes on."""
+    """Read a result to its end before its first row is sent to the caller."""
     from dogwoodspool_gateway import RowsAnswer
     from dogwoodspool_proxy import reads
 
@@ -52,14 +52,14 @@
 
 
 def packets_unbounded() -> None:
-    """Take requests of any size."""
+    """Accept requests of any size."""
     from dogwoodspool_gateway.stream import CallerStream
 
     CallerStream.__init__.__defaults__ = (1 << 32,)
 
 
 def parameters_unescaped() -> None:
-    """Put parameters between quotes as they are."""
+    """Put parameters between quotes without escaping them."""
     from dogwoodspool_gateway import prepared
 
     replace(prepared, "escape_item", lambda value, _charset: f"'{value}'")
--- a/features/mutations/guards/leaving.py
+++ b/features/mutations/guards/leaving.py
@@ -1,4 +1,4 @@
-"""Guards of backend servers that leave."""
+"""Guards of backend servers that are leaving."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def leaving_ignored() -> None:
-    """Send work to a server that has announced its leaving."""
+    """Send work to a server that has announced that it is leaving."""
     from dogwoodspool_routing.models import ServerView
 
     def takes_work(self: Any) -> bool:
@@ -17,7 +17,7 @@
 
 
 def leaving_cuts_transactions() -> None:
-    """Close a transaction's connection when its server leaves."""
+    """Close a transaction's connection when its server is leaving."""
     from dogwoodspool_proxy.transactions import TransactionPath
 
     original = TransactionPath._connection
@@ -34,7 +34,7 @@
 
 
 def leaving_primary_stays() -> None:
-    """Let a primary that leaves stay the primary."""
+    """Keep a primary that is leaving as the primary."""
     from dogwoodspool_control.membership.departures import Departures
 
     replace(Departures, "due_commands", lambda _self: iter(()))
--- a/features/mutations/guards/membership.py
+++ b/features/mutations/guards/membership.py
@@ -6,17 +6,17 @@
 
 
 def late_announcements_ignored() -> None:
-    """Know only the servers that announce themselves at a group's birth."""
+    """Record only the servers that announce themselves while their group is created."""
     from dogwoodspool_control.commands import RecordServer
     from dogwoodspool_control.membership.membership import Membership
 
     original = Membership._due_records
-    birth_size = 3
+    initial_size = 3
 
-    def _due_records(self: Any, sighting: Any, announced: Any) -> Any:
+    def _due_records(self: Any, observation: Any, announced: Any) -> Any:
         known = self._state.servers_of(announced.group)
-        is_late = len(known) >= birth_size
-        for command in original(self, sighting, announced):
+        is_late = len(known) >= initial_size
+        for command in original(self, observation, announced):
             if not (is_late and isinstance(command, RecordServer)):
                 yield command
 
@@ -24,23 +24,23 @@
 
 
 def new_addresses_ignored() -> None:
-    """Keep what a server announced first."""
+    """Keep the properties that a server announced first."""
     from dogwoodspool_control.membership.membership import Membership
 
     Membership._has_ended = lambda _self, _known: False
 
 
 def silent_servers_kept() -> None:
-    """Keep servers for ever."""
+    """Never remove a server."""
     from dogwoodspool_control.membership.membership import Membership
 
     Membership._due_removals = lambda _self: []
 
 
 def silent_primary_dropped() -> None:
-    """Drop every server that is silent for long.
+    """Remove every server that is silent for long, including a primary.
 
-    Both the decision and the command that it commits refuse a primary.
+    Both the decision and the command that it commits refuse to remove a primary.
     """
     from dogwoodspool_control.membership.instances import ServerTable
     from dogwoodspool_control.membership.membership import Membership
--- a/features/mutations/guards/model.py
+++ b/features/mutations/guards/model.py
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """A decision of a program and how the program behaves without it.
+    """A check in a program, with the patch that disables it.
 
     Attributes:
-        name: names the behaviour that is left; scenarios carry it as
+        name: names the behaviour without the guard; scenarios carry it as
             ``@guard.NAME``.
-        switch_off: changes the program's classes before it starts.
-        program: the program that it belongs to.
+        switch_off: patches the program's classes before it starts.
+        program: the program that contains the guard.
     """
 
     name: str
@@ -25,11 +25,11 @@
 
 
 def replace(owner: Any, name: str, value: Any) -> Any:
-    """Replace what a class or module has under a name; return what it was.
+    """Replace an attribute of a class or module and return the original.
 
     Raises:
-        AttributeError: there is no such name. A mutation of something that has
-            moved would change nothing, and its guard would seem to be of no use.
+        AttributeError: there is no such attribute. A patch of one that has moved
+            would change nothing, and its guard would seem to have no effect.
     """
     original = getattr(owner, name)
     setattr(owner, name, value)
--- a/features/mutations/guards/promotions.py
+++ b/features/mutations/guards/promotions.py
@@ -6,14 +6,14 @@
 
 
 def acknowledged_without_grant() -> None:
-    """Acknowledge what the primary answered, whatever became of the grant."""
+    """Acknowledge the primary's answer whether or not the grant is still valid."""
     from dogwoodspool_proxy.grants import GrantTracker
 
     GrantTracker.acknowledge = lambda _self, _permit, _position: True
 
 
 def one_observer_suffices() -> None:
-    """Call a primary failed as soon as one proxy does not reach it."""
+    """Declare a primary failed as soon as one proxy does not reach it."""
     from dogwoodspool_control.promotion.detector import FailureDetector
 
     def is_failed(
@@ -28,7 +28,7 @@
 
 
 def returning_primary_kept() -> None:
-    """Leave a primary that returns with an old term as it is."""
+    """Do not demote a primary that returns with an old term."""
     from dogwoodspool_control.promotion.reconciler import Reconciler
 
     Reconciler.run = lambda _self: None
@@ -57,7 +57,7 @@
 
 
 def leadership_kept() -> None:
-    """Go on leading once elected, whatever the others do."""
+    """Stay the leader once elected, even after another voter was elected."""
     from dogwoodspool_control.node import ControlNode
 
     original = ControlNode.leadership
@@ -73,7 +73,7 @@
 
 
 def promotion_left_undone() -> None:
-    """Leave alone what an earlier leader has begun."""
+    """Do not continue a promotion that an earlier leader has begun."""
     from dogwoodspool_control.leader import LeaderLoop
 
     original = LeaderLoop.begin_leadership
--- a/features/mutations/guards/recovery.py
+++ b/features/mutations/guards/recovery.py
@@ -6,7 +6,7 @@
 
 
 def log_not_written() -> None:
-    """Answer for entries that never reach the disk."""
+    """Acknowledge entries that never reach the disk."""
     from dogwoodspool_consensus.storage import FileLogStorage
 
     FileLogStorage.append = lambda _self, _entries: None
@@ -22,7 +22,7 @@
 
 
 def identities_unchecked() -> None:
-    """Count a voter whatever became of its files."""
+    """Count the votes and responses of a voter even if it has lost its files."""
     from dogwoodspool_consensus import election, reads, replication, snapshots
     from dogwoodspool_consensus.state import NodeState
 
@@ -36,12 +36,12 @@
 
 
 def missed_entries_not_sent() -> None:
-    """Send a voter that returns only what comes from now on."""
+    """Send a voter that returns only the entries appended from now on."""
     from dogwoodspool_consensus.replication import Replication
 
     original_delay = Replication._delay
-    original_take_response = Replication._handle_response
-    # The first voters still have to find each other.
+    original_handle_response = Replication._handle_response
+    # Without the first entries the first voters would not form a group.
     first_entries = 50
 
     def skip(self: Any, progress: Any) -> None:
@@ -54,7 +54,7 @@
         original_delay(self, progress)
 
     def _handle_response(self: Any, progress: Any, request: Any, response: Any) -> None:
-        original_take_response(self, progress, request, response)
+        original_handle_response(self, progress, request, response)
         if not response.is_success:
             skip(self, progress)
 
@@ -63,7 +63,7 @@
 
 
 def transaction_not_begun() -> None:
-    """Let each statement of a transaction commit by itself."""
+    """Commit each statement of a transaction separately."""
     from dogwoodspool_proxy.transactions import TransactionPath
     from expression import Ok
 
--- a/features/mutations/guards/refusals.py
+++ b/features/mutations/guards/refusals.py
@@ -6,7 +6,7 @@
 
 
 def grant_never_expires() -> None:
-    """Write under a grant that nobody renews."""
+    """Write under a grant that has expired."""
     from dogwoodspool_proxy.grants import GrantTracker
 
     def _valid(self: Any, group: str, is_ending: bool = False) -> Any:
@@ -16,14 +16,14 @@
 
 
 def deadline_unchecked() -> None:
-    """Run statements whatever deadline they state."""
+    """Ignore the deadlines that statements state."""
     from dogwoodspool_proxy.caller_session import ProxySession
 
     replace(ProxySession, "_deadline", lambda self, _request: self._clock.now() + 2.0)
 
 
 def queue_unbounded() -> None:
-    """Let every statement wait."""
+    """Queue statements without a limit."""
     from dogwoodspool_limits import AdmissionQueue
 
     original = AdmissionQueue.__init__
@@ -38,7 +38,7 @@
 
 
 def silence_told_as_not_run() -> None:
-    """Say of a write without an answer that it did not run."""
+    """Report a write without an answer as not run."""
     from dogwoodspool_proxy import answers, writes
 
     replace(writes, "unknown", lambda message: answers.refused(message, 100))
--- a/features/mutations/guards/requests.py
+++ b/features/mutations/guards/requests.py
@@ -6,7 +6,7 @@
 
 
 def request_row_skipped() -> None:
-    """Run a write with a request id like any other."""
+    """Run a write with a request id like one without."""
     from dogwoodspool_requests import RequestRunner
     from dogwoodspool_requests.models import RequestOutcome
 
@@ -18,7 +18,7 @@
 
 
 def unknown_write_resent() -> None:
-    """Send every write again whose outcome is unknown."""
+    """Resend every write whose outcome is unknown."""
     from dogwoodspool_proxy.writes import WritePath
 
     replace(WritePath, "_may_repeat", lambda _self, _caller, _request: True)
--- a/features/mutations/guards/sessions.py
+++ b/features/mutations/guards/sessions.py
@@ -7,7 +7,7 @@
 
 
 def satisfies_always() -> None:
-    """Take every replica for fresh enough."""
+    """Treat every replica as fresh enough."""
     from dogwoodspool_proxy import reads
     from dogwoodspool_routing import read_router
 
@@ -19,7 +19,7 @@
 
 
 def unknown_session_is_new() -> None:
-    """Take a connection without a token for one that has written nothing."""
+    """Treat a connection without a token as one that has written nothing."""
     from dogwoodspool_sessions import Session
 
     original = Session.__init__
@@ -32,7 +32,7 @@
 
 
 def signature_unchecked() -> None:
-    """Accept tokens whatever their signature is."""
+    """Accept tokens with any signature."""
     import hmac
 
     from dogwoodspool_sessions import token
@@ -60,7 +60,7 @@
 
 
 def lost_branch_accepted() -> None:
-    """Compare offsets without a look at the terms' branches."""
+    """Compare offsets without checking where the terms branched off."""
     from dogwoodspool_sessions import history, session
 
     def is_lost(*_arguments: Any) -> bool:
--- a/features/mutations/guards/settings.py
+++ b/features/mutations/guards/settings.py
@@ -6,7 +6,7 @@
 
 
 def settings_not_applied() -> None:
-    """Follow the version of a newer view and keep the settings of the first."""
+    """Report the version of a newer view but keep the settings of the first."""
     import dataclasses
 
     from dogwoodspool_following.view import ProxyView
@@ -25,14 +25,14 @@
 
 
 def change_ids_forgotten() -> None:
-    """Decide a change that was sent again as a new one."""
+    """Treat a change that was sent again as a new one."""
     from dogwoodspool_settings.answers import AnswerStore
 
     AnswerStore.get = lambda _self, _change_id: None
 
 
 def expected_version_unchecked() -> None:
-    """Let a change take effect whatever version its operator has seen."""
+    """Accept a change whatever version its operator expects."""
     import dataclasses
 
     from dogwoodspool_settings.change_check import ChangeCheck
@@ -47,7 +47,7 @@
 
 
 def watch_unconfirmed() -> None:
-    """Take the first view from any control process, as it believes it."""
+    """Accept the first view from any control process, unconfirmed by a quorum."""
     from dogwoodspool_following.view import ViewStore
     from dogwoodspool_following.watch import WatchCoordinator
 
@@ -65,7 +65,7 @@
 
 
 def views_go_back() -> None:
-    """Put in force whatever a control process holds for current."""
+    """Apply any view that a control process takes for current, also an older one."""
     import time
 
     from dogwoodspool_following.view import ProxyView, ViewStore
@@ -75,13 +75,13 @@
 
     def _poll(self: Any, address: Any) -> Any:
         view = self._views._view
-        asked = ViewStore.view
+        view_property = ViewStore.view
         time.sleep(0.05)
         ViewStore.view = property(lambda _self: ProxyView())
         try:
             return original(self, address)
         finally:
-            ViewStore.view = asked
+            ViewStore.view = view_property
             self._views._view = view
 
     def adopt(self: Any, message: Any) -> bool:
@@ -95,7 +95,7 @@
 
 
 def frozen_control_kept() -> None:
-    """Go on asking the control process that was asked first."""
+    """Poll only the first control process of the list."""
     from dogwoodspool_following.control_peers import ControlPeers
 
     ControlPeers.any = lambda self: self._addresses[0]
--- a/features/mutations/guards/shutdown.py
+++ b/features/mutations/guards/shutdown.py
@@ -6,7 +6,7 @@
 
 
 def drain_skipped() -> None:
-    """Stop without waiting for what is in flight."""
+    """Stop without waiting for the requests in flight."""
     from dogwoodspool_gateway import CallerListener
 
     original = CallerListener.drain
@@ -14,7 +14,7 @@
 
 
 def idle_connection_cut() -> None:
-    """Close an idle connection without a word."""
+    """Close an idle connection without an error message."""
     from dogwoodspool_gateway.connection import CallerConnection
 
     async def end_idle(self: Any) -> None:
@@ -24,7 +24,7 @@
 
 
 def ready_while_draining() -> None:
-    """Tell the balancer that a proxy which stops is ready."""
+    """Report a proxy that is stopping as ready to the load balancer."""
     from dogwoodspool_proxy.diagnostics import ProxyDiagnostics
 
     replace(ProxyDiagnostics, "start_draining", lambda _self: None)
--- a/features/mutations/guards/transactions.py
+++ b/features/mutations/guards/transactions.py
@@ -6,7 +6,7 @@
 
 
 def dirty_connection_reused() -> None:
-    """Give a connection back as it is, also inside a transaction."""
+    """Release a connection without a reset, even inside a transaction."""
     from dogwoodspool_connections.health import ConnectionHealth
     from dogwoodspool_proxy.transactions import TransactionPath
 
@@ -20,11 +20,15 @@
             self._grants.end_write(transaction.permit)
 
     replace(TransactionPath, "end", end)
-    replace(ConnectionHealth, "reset_for_reuse", lambda _self, one: one.is_open)
+    replace(
+        ConnectionHealth,
+        "reset_for_reuse",
+        lambda _self, connection: connection.is_open,
+    )
 
 
 def connection_shared() -> None:
-    """Give the connection back between a transaction's statements."""
+    """Release the connection between a transaction's statements."""
     from dogwoodspool_connections.health import ConnectionHealth
     from dogwoodspool_gateway import DoneAnswer
     from dogwoodspool_proxy.transactions import TransactionPath
@@ -40,11 +44,15 @@
         return answer
 
     replace(TransactionPath, "_execute", _execute)
-    replace(ConnectionHealth, "reset_for_reuse", lambda _self, one: one.is_open)
+    replace(
+        ConnectionHealth,
+        "reset_for_reuse",
+        lambda _self, connection: connection.is_open,
+    )
 
 
 def commit_silence_acknowledged() -> None:
-    """Take a commit without an answer for a commit."""
+    """Report a commit without an answer as committed."""
     from dogwoodspool_gateway import DoneAnswer
     from dogwoodspool_proxy import transactions
 
@@ -52,14 +60,14 @@
 
 
 def transactions_never_expire() -> None:
-    """Let a transaction stay open for ever."""
+    """Never end an idle transaction."""
     from dogwoodspool_proxy.transactions import TransactionPath
 
     replace(TransactionPath, "expire", lambda _self, _caller: None)
 
 
 def shares_fixed() -> None:
-    """Keep the base share whatever control leases."""
+    """Keep the base share of connections, ignoring the shares that control leases."""
     from dogwoodspool_proxy.backends import BackendRegistry
 
     replace(BackendRegistry, "grant_shares", lambda _self, _shares, _until: None)
--- a/features/mutations/sitecustomize.py
+++ b/features/mutations/sitecustomize.py
@@ -1,7 +1,7 @@
 """Switch one guard off in a program that the mutation check starts.
 
-The check sets the variable and puts this folder on the path; Python then loads
-this module at the start of each program. Installed programs never see it.
+The check sets ``FEATURES_MUTATION`` and puts this folder on the path; Python then
+loads this module at the start of each program. Installed programs do not contain it.
 """
 
 import importlib
@@ -27,7 +27,7 @@
     try:
         _apply(_NAME)
     except Exception:  # noqa: BLE001
-        # Python would go on without the mutation, and its guard would seem to be
-        # of no use.
+        # Python would continue without the mutation, and its guard would seem to
+        # have no effect.
         traceback.print_exc()
         os._exit(EXIT_NOT_APPLIED)
--- a/features/not_run.feature
+++ b/features/not_run.feature
@@ -1,8 +1,8 @@
 @not-run
 Feature: A request that is refused as not run did not run
 
-  An application sends a refused line again. If the refused one ran after all, the
-  shopper sees it twice.
+  An application sends a refused write again. If the refused one ran after all, the
+  shopper sees the line twice.
 
   @guard.grant-never-expires
   Scenario: Writes are refused while no primary is confirmed
@@ -19,8 +19,8 @@
 
   @guard.queue-unbounded
   Scenario: Overload is refused at once
-    The one connection is busy and the queue is full. A caller that waits in vain
-    for its whole deadline could have gone elsewhere.
+    The only connection is busy and the queue is full. A caller that waits unserved
+    until its deadline could have used another proxy.
 
     Given statements take 400 ms at every backend server
     And 12 callers at proxy 1
@@ -31,8 +31,8 @@
 
   @guard.silence-told-as-not-run
   Scenario: A write past its deadline is not told as not run
-    The primary gets the write and answers after the deadline. The row is there, so
-    "not run" would be a lie.
+    The primary receives the write and answers after the deadline. The row exists, so
+    "not run" would be false.
 
     Given statements take 800 ms at every backend server
     And a caller "agent" at proxy 1
--- a/features/read_your_writes.feature
+++ b/features/read_your_writes.feature
@@ -6,9 +6,9 @@
   position the page lacks the line, and the shopper sends it a second time.
 
   Scenario Outline: Read at another proxy, next to a replica that is far behind
-    The reader's own failure domain has the replica that stopped to replicate, so
-    nothing but the session's position keeps its reads away from it. The other
-    replica takes no reads, as it is about to leave.
+    The replica in the reader's own failure domain has stopped replicating, so only
+    the session's position keeps reads away from it. The other replica takes no reads
+    because it is leaving.
 
     Given the replica "orders-3" has stopped to replicate
     And a caller "writer" at proxy 1
@@ -31,8 +31,8 @@
 
   @own-deployment @guard.satisfies-always
   Scenario: Read after a change of primary, beside a replica that returns with old data
-    A replica freezes, the primary changes, the replica comes back with the data of
-    the term before. It is the nearest one to the reader.
+    A replica freezes, the primary changes, and the replica resumes with the data of
+    the previous term. It is the replica nearest to the reader.
 
     Given a caller "writer" at proxy 1
     And a caller "reader" at proxy 3
@@ -45,8 +45,8 @@
     Then each read of "reader" has the lines "before" and "after" for 3 seconds
 
   Scenario Outline: A token that cannot be kept gets a clear refusal
-    A token of another key, cut short or of a term that no proxy knows says nothing
-    about what its session wrote; a page without that would be wrong silently.
+    A token that is signed with another key, truncated or of a term that no proxy knows
+    does not tell what its session wrote; a read could silently miss those writes.
 
     Given a caller "writer" at proxy 1
     And a caller "reader" at proxy 2
@@ -69,7 +69,7 @@
   @own-deployment @guard.lost-branch-accepted
   Scenario: A session whose writes a change of primary has lost is told so
     The session's last position lies past the point where the new term branched off.
-    The offsets of the new term grow past it, but its entries are others.
+    The new term's offsets grow past that position, but its entries are different.
 
     Given a caller "writer" at proxy 1
     And a caller "reader" at proxy 2
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -1,13 +1,13 @@
 @recovery
 Feature: What was accepted is there after processes, machines and disks are lost
 
-  Every process may end at any moment. An operator who finds old settings, or a group
-  that forgot its term, after a power cut can trust nothing that was accepted.
+  Any process can end at any time. If settings revert or a group loses its term after
+  a power failure, operators cannot rely on any change that was accepted.
 
   @guard.log-not-written
   Scenario: All control processes are killed at once and start again
-    A power cut ends all of them in the same moment. What they answered for is on
-    their disks only.
+    A power failure ends all of them at the same time. What they acknowledged exists
+    only on their disks.
 
     Given a caller "agent" at proxy 1
     When an operator lets the user "auditor" in
@@ -22,8 +22,8 @@
 
   @guard.quorum-of-one
   Scenario: Two of three control processes are lost and come back
-    The one that is left cannot know whether the others go on without it. What it
-    accepted alone would be undone when they return.
+    The remaining one cannot know whether the others continue without it. A change
+    that it accepted alone would be lost when they return.
 
     Given a caller "agent" at proxy 1
     And a caller "reader" at proxy 2
@@ -39,9 +39,9 @@
 
   @own-deployment @guard.identities-unchecked
   Scenario: A voter that lost its disk does not vote under its old id
-    It has forgotten what it voted for and what it stored. With its vote a leader
-    could be elected that lacks an accepted change. Right after it was replaced
-    under a new id, a second machine is lost.
+    It has lost the record of its votes and its log. Its vote could elect a leader
+    that lacks an accepted change. Right after it is replaced under a new id, a second
+    machine is lost.
 
     When an operator lets the user "auditor" in
     And a control process that does not lead loses its disk and starts again
@@ -56,8 +56,8 @@
 
   @guard.transaction-not-begun
   Scenario: A proxy dies in the middle of a transaction
-    Its caller never hears of a commit. The row must not be there, and the locks and
-    scarce connections of the dead proxy must be free again.
+    No commit was acknowledged to its caller. The row must not exist, and the dead
+    proxy's locks and scarce connections must be released.
 
     Given a proxy that can be ended
     And a caller "dying" at that proxy
@@ -72,8 +72,8 @@
 
   @guard.missed-entries-not-sent
   Scenario: A control process starts again after hundreds of changes
-    The changes were accepted while it was down. Right after its return the leader
-    is lost, and what is left of the group depends on it.
+    The changes were accepted while it was down. Right after its restart the leader
+    is lost, and the remaining processes have a quorum only with it.
 
     When a control process that does not lead is killed
     And an operator makes 200 changes and then lets the user "auditor" in
@@ -86,8 +86,8 @@
 
   @guard.grant-never-expires
   Scenario: Proxies that are cut off from control serve what they promise
-    All control processes stand still. Reads whose promise a replica keeps go on; a
-    write could go to a primary that was replaced, so it is refused at once.
+    All control processes are frozen. Reads whose consistency a replica can guarantee
+    continue; a write could reach a replaced primary, so it is refused at once.
 
     Given a caller "agent" at proxy 1
     And a caller "reader" at proxy 2
@@ -108,8 +108,8 @@
 
   @guard.promotion-left-undone
   Scenario: The control leader is killed in the middle of a promotion
-    The primary is dead and a proxy stands still, so the promotion waits for the end
-    of its grant. The next leader finds the promotion begun and must finish it.
+    The primary is dead and a proxy is frozen, so the promotion waits until the proxy's
+    grant expires. The next leader finds the promotion begun and must finish it.
 
     Given a caller "agent" at proxy 1
     And the primary is to be lost
--- a/features/replaced_primary.feature
+++ b/features/replaced_primary.feature
@@ -1,14 +1,14 @@
 @replaced-primary
 Feature: No write is acknowledged by a primary that has been replaced
 
-  A write that the old primary took after its place was given away is in no log that
-  lasts. Who was told "ok" of it loses an order without a word.
+  A write that the old primary accepted after it was replaced is in no surviving log.
+  A caller that was told "ok" of it loses an order without notice.
 
   @guard.acknowledged-without-grant
   Scenario: A write is in flight while its proxy stands still past its lease
-    Proxy 1 freezes with a write at the primary, which is then cut off from all
-    other failure domains and replaced. The new primary writes on. When proxy 1 goes
-    on, the old primary's answer is there, and replicas are past its position.
+    Proxy 1 freezes with a write in flight at the primary, which is then cut off from
+    all other failure domains and replaced. The new primary takes writes. When proxy 1
+    resumes, the old primary's answer is there, and replicas are past its position.
 
     Given "orders-1" has been made the primary
     And the control leader runs outside of the primary's failure domain
@@ -31,8 +31,8 @@
 
   @guard.one-observer-suffices
   Scenario: One failure domain's bad link to the primary demotes nobody
-    If one observer sufficed, each bad link would be a failover, and two observers
-    with bad links to different servers would make the primary wander.
+    If one observer sufficed, each bad link would cause a failover, and two observers
+    with bad links to different servers would move the primary back and forth.
 
     Given "orders-1" has been made the primary
     And a caller "agent" at proxy 1
@@ -46,8 +46,8 @@
 
   @guard.returning-primary-kept
   Scenario: A killed primary returns and believes that it is primary
-    It took a write that no replica has and no caller was told of. Back with its old
-    data it must lose that write and follow, and no proxy may write through it.
+    It holds a write that no replica has and that no caller was told "ok" of. Restarted
+    with its old data, it must discard it and replicate; no proxy may write through it.
 
     Given a caller "agent" at proxy 1
     And a caller "shopper" at proxy 2
@@ -68,8 +68,8 @@
 
   @guard.replica-chosen-blindly
   Scenario: Planned changes of primary lose no line and double none
-    An operator moves the primary three times while callers write lines that must
-    not run twice. One replica is always a little behind.
+    An operator changes the primary three times while callers write lines that must
+    not run twice. One replica always lags slightly behind.
 
     Given the replica "orders-3" lags by 300 ms
     And 6 callers that write all the time
@@ -80,9 +80,9 @@
 
   @guard.leadership-kept
   Scenario: A control leader that stood still gives no grant when it goes on
-    Another one was elected and has changed the primary. The old leader believes that
-    it leads, and is all that the proxies reach. Its grant would be one for the old
-    primary.
+    Another leader was elected and has changed the primary. The old leader still
+    assumes that it leads and is the only one that the proxies reach. It would grant
+    writes to the old primary.
 
     When the control leader freezes
     And another control process leads and changes the primary
--- a/features/settings_in_force.feature
+++ b/features/settings_in_force.feature
@@ -1,14 +1,14 @@
 @settings-in-force
 Feature: An accepted change is in force everywhere within seconds and never reverts
 
-  An operator is told that a change was accepted. A proxy that goes on with the old
-  settings, or comes back to them, lets in whom it should not, or waits as it should
-  not, and nobody is told.
+  An operator is told that a change was accepted. A proxy that keeps the old settings
+  or returns to them admits users that it should refuse or applies wrong time limits,
+  unnoticed by anyone.
 
   @guard.settings-not-applied
   Scenario: Every proxy behaves as the accepted change says
-    A proxy may follow the versions and still use what it has read before. So the
-    behaviour is looked at, not the version that the proxy states.
+    A proxy may follow the versions and still use the settings that it read before, so
+    the behaviour is checked and not the version that the proxy reports.
 
     When an operator sets "deadline_ms" to 15000
     And statements take 300 ms at every backend server
@@ -22,8 +22,8 @@
 
   @guard.settings-not-applied
   Scenario: Every proxy acknowledges writes as the accepted change says
-    No replica takes part any more. With "write_ack" at "replica" no write is
-    acknowledged; an operator who prefers the risk says "primary".
+    No replica replicates any more. With "write_ack" set to "replica" no write is
+    acknowledged; an operator who accepts the risk of loss sets it to "primary".
 
     When an operator sets "write_ack" to "primary"
     And every replica stops to replicate
@@ -33,8 +33,8 @@
 
   @guard.change-ids-forgotten @guard.expected-version-unchecked
   Scenario: Two operators race with equal versions and both send again
-    Both saw the same version, both lost their answer. If the loser's change took
-    effect on its second arrival, it would undo the winner's without a word; if the
+    Both read the same version, and neither received an answer. If the rejected change
+    took effect when it is sent again, it would silently undo the accepted one; if the
     winner were told of a conflict, they would make their change twice.
 
     When two operators race with changes of the same version and lose their answers
@@ -48,8 +48,8 @@
 
   @own-deployment @guard.watch-unconfirmed @guard.views-go-back
   Scenario: A control process stands still through hundreds of changes
-    It was frozen, replaced by the others, and knows of nothing when it goes on. For
-    a time it is all that the proxies reach, one of which has just started.
+    It was frozen, was removed from the voters and does not know that when it resumes.
+    For a time it is the only one that the proxies reach; one of them has just started.
 
     When the control process that does not lead freezes
     And the frozen control process is removed from the voters
@@ -68,8 +68,8 @@
 
   @guard.frozen-control-kept
   Scenario: Proxies leave a control process that stands still
-    Its sockets stay open and take every request. A proxy that waits for it gets no
-    change although all others have it.
+    Its sockets stay open and accept every request. A proxy that waits for it receives
+    no change although all other proxies have it.
 
     Then each change gets into force in every proxy while a control process is frozen
 
--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -1,4 +1,4 @@
-"""Steps about late, broken, huge and malformed exchanges."""
+"""Steps about late, truncated, large and malformed requests and answers."""
 
 import re
 import socket
@@ -9,7 +9,7 @@
 from dogwoodspool_testbed import ProxyHandle
 from dogwoodspool_testbed.const import CALLER_PASSWORD, CALLER_USER
 from pymysql.cursors import SSCursor
-from support.const import AT_ONCE_SECONDS, GROUP, PATIENCE_SECONDS
+from support.const import GROUP, PROMPT_REPLY_SECONDS, TIMEOUT_SECONDS
 from support.steps import Context, caller_of, given, then, when, world_of
 
 FIRST_ROWS = 10
@@ -32,19 +32,19 @@
         limit = long if number % 2 else short
         reply = caller.run(f"SELECT {1000 + number} AS n", deadline_ms=limit)
         asked.append((1000 + number, reply))
-    world_of(context).notes["asked"] = asked
+    world_of(context).state["number_replies"] = asked
 
 
 @then('each answer to "{name:Text}" has the number that was asked for')
 def answers_match(context: Context, name: str) -> None:
-    for number, reply in world_of(context).notes["asked"]:
+    for number, reply in world_of(context).state["number_replies"]:
         if reply.is_ok:
             assert reply.rows == ((number,),), (number, str(reply))
 
 
 @then('"{name:Text}" was answered at least {count:d} times')
 def answered(context: Context, name: str, count: int) -> None:
-    replies = [reply for _, reply in world_of(context).notes["asked"]]
+    replies = [reply for _, reply in world_of(context).state["number_replies"]]
     answers = [reply for reply in replies if reply.is_ok]
     assert len(answers) >= count, [str(reply) for reply in replies]
 
@@ -62,43 +62,45 @@
     context: Context, name: str, count: int, size: int, limit: int
 ) -> None:
     world = world_of(context)
-    world.notes["memory"] = _peak_memory(context, caller_of(context, name).proxy)
+    world.state["peak_memory"] = _peak_memory(context, caller_of(context, name).proxy)
     cursor = caller_of(context, name).connection.cursor()
     cursor.execute(
         f"/*deadline_ms='{limit}'*/ WITH RECURSIVE numbers AS (SELECT 1 AS i UNION "
         f"ALL SELECT i + 1 FROM numbers WHERE i < {count}) "
         f"SELECT i, '{'x' * size}' FROM numbers"
     )
-    world.notes["cursor"] = cursor
-    world.notes["count"] = count
-    world.notes["first"] = [cursor.fetchone() for _ in range(FIRST_ROWS)]
+    world.state["cursor"] = cursor
+    world.state["row_count"] = count
+    world.state["first_rows"] = [cursor.fetchone() for _ in range(FIRST_ROWS)]
 
 
 @then('"{name:Text}" gets all the rows')
-def gets_all(context: Context, name: str) -> None:
-    notes = world_of(context).notes
-    numbers = [row[0] for row in notes["first"]]
-    numbers += [row[0] for row in notes["cursor"]]
-    assert numbers == list(range(1, notes["count"] + 1)), len(numbers)
+def gets_all_rows(context: Context, name: str) -> None:
+    state = world_of(context).state
+    numbers = [row[0] for row in state["first_rows"]]
+    numbers += [row[0] for row in state["cursor"]]
+    assert numbers == list(range(1, state["row_count"] + 1)), len(numbers)
 
 
 @then('"{name:Text}" gets an error instead of the rest of the rows')
 def gets_error(context: Context, name: str) -> None:
-    notes = world_of(context).notes
-    rows = len(notes["first"])
+    state = world_of(context).state
+    rows = len(state["first_rows"])
     try:
-        rows += sum(1 for _row in notes["cursor"])
+        rows += sum(1 for _row in state["cursor"])
     except pymysql.MySQLError as error:
         assert "unknown:" in str(error), error
         return
-    raise AssertionError(f"{rows} of {notes['count']} rows were taken for all")
+    raise AssertionError(
+        f"result ended without an error after {rows} of {state['row_count']} rows"
+    )
 
 
 @then("the memory of proxy {number:d} has grown by less than {limit:d} MB")
 def memory_bounded(context: Context, number: int, limit: int) -> None:
     world = world_of(context)
-    grown = _peak_memory(context, world.proxy(number)) - world.notes["memory"]
-    assert grown < limit * MEGABYTE, f"{grown / MEGABYTE:.0f} MB"
+    grown = _peak_memory(context, world.proxy(number)) - world.state["peak_memory"]
+    assert grown < limit * MEGABYTE, f"grown by {grown / MEGABYTE:.0f} of {limit} MB"
 
 
 @when("a caller sends proxy {number:d} a packet of {size:d} MB")
@@ -115,22 +117,22 @@
     ends = []
     for data in MALFORMED:
         with socket.create_connection((address.host, address.port)) as connection:
-            connection.settimeout(PATIENCE_SECONDS)
+            connection.settimeout(TIMEOUT_SECONDS)
             connection.recv(4096)
             connection.sendall(data)
             connection.shutdown(socket.SHUT_WR)
             ends.append(_read_to_end(connection))
-    world.notes["ends"] = ends
+    world.state["connection_ends"] = ends
 
 
 @then("the callers with the malformed packets are cut off")
-def malformed_cut(context: Context) -> None:
-    ends = world_of(context).notes["ends"]
+def malformed_senders_are_disconnected(context: Context) -> None:
+    ends = world_of(context).state["connection_ends"]
     assert len(ends) == len(MALFORMED) and all(ends), ends
 
 
 @when("prepared statements write and read these lines at proxy {number:d}")
-def prepared(context: Context, number: int) -> None:
+def run_prepared_statements(context: Context, number: int) -> None:
     world = world_of(context)
     address = world.proxy(number).address
     connection = mysql.connector.connect(
@@ -141,7 +143,7 @@
         database=GROUP,
         use_pure=True,
         autocommit=True,
-        connection_timeout=int(AT_ONCE_SECONDS),
+        connection_timeout=int(PROMPT_REPLY_SECONDS),
     )
     read = []
     cursor = connection.cursor(prepared=True)
@@ -154,12 +156,12 @@
         except mysql.connector.Error as error:
             read.append((line, str(error)))
     connection.close()
-    world.notes["read"] = read
+    world.state["prepared_rows"] = read
 
 
 @then("each line was read as it was written")
-def read_as_written(context: Context) -> None:
-    for line, read in world_of(context).notes["read"]:
+def lines_read_as_written(context: Context) -> None:
+    for line, read in world_of(context).state["prepared_rows"]:
         assert read == [line], (line, read)
 
 
@@ -172,7 +174,7 @@
 
 
 def _read_to_end(connection: socket.socket) -> bool:
-    """Tell whether the peer ends the connection."""
+    """Return whether the peer closes the connection before the time-out."""
     try:
         while connection.recv(4096):
             pass
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -1,12 +1,12 @@
-"""Steps in which callers connect, write, read and look at what they are told."""
+"""Steps in which callers connect, write, read and check their replies."""
 
 import time
 
 from dogwoodspool_testbed import ProxyHandle
-from support.const import AT_ONCE_SECONDS, OK, PATIENCE_SECONDS
+from support.const import OK, PROMPT_REPLY_SECONDS, TIMEOUT_SECONDS
 from support.steps import Context, caller_of, given, step, then, when, world_of
 
-ATTEMPT_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
 
 
 @given('a caller "{name:Text}" at proxy {number:d}')
@@ -18,7 +18,7 @@
 @given('a caller "{name:Text}" at that proxy')
 def connect_at_that(context: Context, name: str) -> None:
     world = world_of(context)
-    proxy: ProxyHandle = world.notes["proxy"]
+    proxy: ProxyHandle = world.state["proxy"]
     world.caller(name, proxy)
 
 
@@ -80,7 +80,7 @@
 ) -> None:
     caller = caller_of(context, name)
     sql = world_of(context).insert(line)
-    caller.start(sql, request_id=request_id, deadline_ms=int(PATIENCE_SECONDS * 1000))
+    caller.start(sql, request_id=request_id, deadline_ms=int(TIMEOUT_SECONDS * 1000))
 
 
 @step('"{name:Text}" reads')
@@ -121,10 +121,10 @@
 
 
 @then('"{name:Text}" is told "{outcome:Text}" at once and when to come back')
-def is_told_at_once(context: Context, name: str, outcome: str) -> None:
+def is_told_promptly(context: Context, name: str, outcome: str) -> None:
     is_told(context, name, outcome)
     reply = caller_of(context, name).last
-    assert reply.seconds < AT_ONCE_SECONDS, reply
+    assert reply.seconds < PROMPT_REPLY_SECONDS, reply
     assert reply.retry_after_ms, reply
 
 
@@ -136,7 +136,7 @@
 
 @then('"{name:Text}" gets its answer')
 def gets_answer(context: Context, name: str) -> None:
-    reply = caller_of(context, name).finish(PATIENCE_SECONDS)
+    reply = caller_of(context, name).finish(TIMEOUT_SECONDS)
     assert reply.is_ok, reply
 
 
@@ -154,26 +154,26 @@
 def _write(context: Context, name: str, line: str, **properties: object):  # noqa: ANN202
     caller = caller_of(context, name)
     reply = caller.run(world_of(context).insert(line), **properties)
-    told = world_of(context).notes.setdefault("told", {})
-    told.setdefault(name, []).append((line, reply.outcome))
+    outcomes = world_of(context).state.setdefault("outcomes", {})
+    outcomes.setdefault(name, []).append((line, reply.outcome))
     return reply
 
 
 def _write_until_ok(
     context: Context, name: str, line: str, **properties: object
 ) -> None:
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     reply = _write(context, name, line, **properties)
     while reply.outcome != OK:
-        # Only what did not run may be sent again without a request id.
+        # Without a request id, only a write that did not run may be sent again.
         assert reply.outcome == "not-run" or "request_id" in properties, reply
         assert time.monotonic() < deadline, reply
-        time.sleep((reply.retry_after_ms or 0) / 1000 + ATTEMPT_SECONDS)
+        time.sleep((reply.retry_after_ms or 0) / 1000 + RETRY_DELAY_SECONDS)
         reply = _write(context, name, line, **properties)
 
 
 def _reply(context: Context, name: str):  # noqa: ANN202
     caller = caller_of(context, name)
-    if caller.has_started:
-        return caller.finish(PATIENCE_SECONDS)
+    if caller.has_pending_reply:
+        return caller.finish(TIMEOUT_SECONDS)
     return caller.last
--- a/features/steps/crowds.py
+++ b/features/steps/concurrent_callers.py
@@ -1,4 +1,4 @@
-"""Steps with many callers at a time."""
+"""Steps with many concurrent callers."""
 
 import threading
 import time
@@ -6,19 +6,25 @@
 from typing import Any
 
 from support.callers import Caller
-from support.const import AT_ONCE_SECONDS, NOT_RUN, OK, PATIENCE_SECONDS, POLL_SECONDS
+from support.const import (
+    NOT_RUN,
+    OK,
+    POLL_SECONDS,
+    PROMPT_REPLY_SECONDS,
+    TIMEOUT_SECONDS,
+)
 from support.steps import Context, caller_of, given, then, when, world_of
 
 
 @when('"{name:Text}" writes lines for {seconds:d} seconds, longer than any lease')
-def write_for(context: Context, name: str, seconds: int) -> None:
+def write_for_seconds(context: Context, name: str, seconds: int) -> None:
     world = world_of(context)
-    told = world.notes.setdefault("told", {}).setdefault(name, [])
+    outcomes = world.state.setdefault("outcomes", {}).setdefault(name, [])
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
-        line = f"line {len(told)}"
+        line = f"line {len(outcomes)}"
         reply = caller_of(context, name).run(world.insert(line))
-        told.append((line, reply.outcome))
+        outcomes.append((line, reply.outcome))
         time.sleep(POLL_SECONDS)
 
 
@@ -35,34 +41,34 @@
     for name, caller in world.callers.items():
         caller.start(world.insert(name), deadline_ms=limit)
     replies = {
-        name: caller.finish(PATIENCE_SECONDS * 2)
+        name: caller.finish(TIMEOUT_SECONDS * 2)
         for name, caller in world.callers.items()
     }
-    world.notes["replies"] = replies
+    world.state["replies"] = replies
 
 
 @then('some are told "{outcome:Text}" at once and when to come back')
 def some_refused(context: Context, outcome: str) -> None:
-    replies = world_of(context).notes["replies"].values()
+    replies = world_of(context).state["replies"].values()
     refused = [reply for reply in replies if f"{reply.outcome}:" == outcome]
     assert refused, [str(reply) for reply in replies]
     for reply in refused:
         assert reply.retry_after_ms, reply
-        assert reply.seconds < AT_ONCE_SECONDS, reply
+        assert reply.seconds < PROMPT_REPLY_SECONDS, reply
 
 
 @then('each line that was told "ok" of is at every backend server')
-def all_acknowledged(context: Context) -> None:
+def acknowledged_lines_are_present(context: Context) -> None:
     world = world_of(context)
-    lines = world.settled_lines()
-    told = _told(context, OK)
+    lines = world.replicated_lines()
+    told = _lines_told(context, OK)
     assert told and told <= set(lines), (told, lines)
 
 
 @then('no line that was told "not-run:" of is at any backend server')
-def all_refused(context: Context) -> None:
-    lines = world_of(context).settled_lines()
-    told = _told(context, NOT_RUN)
+def refused_lines_are_absent(context: Context) -> None:
+    lines = world_of(context).replicated_lines()
+    told = _lines_told(context, NOT_RUN)
     assert not told & set(lines), (told, lines)
 
 
@@ -70,13 +76,13 @@
     '"{first:Text}" and "{second:Text}" both write the same {count:d} requests at the '
     "same time"
 )
-def race(context: Context, first: str, second: str, count: int) -> None:
+def race_requests(context: Context, first: str, second: str, count: int) -> None:
     world = world_of(context)
     barrier = threading.Barrier(2)
-    world.notes["race"] = []
+    world.state["race_replies"] = []
 
     def write(caller: Caller, number: int) -> Any:
-        barrier.wait(PATIENCE_SECONDS)
+        barrier.wait(TIMEOUT_SECONDS)
         sql = world.insert(f"race {number}")
         return caller.run(sql, request_id=f"race-{number}")
 
@@ -84,20 +90,20 @@
         for number in range(count):
             callers = [caller_of(context, name) for name in (first, second)]
             futures = [executor.submit(write, one, number) for one in callers]
-            world.notes["race"].append([future.result() for future in futures])
+            world.state["race_replies"].append([future.result() for future in futures])
 
 
 @then("each of the {count:d} requests is once at every backend server")
-def race_once(context: Context, count: int) -> None:
+def raced_requests_ran_once(context: Context, count: int) -> None:
     world = world_of(context)
-    lines = world.settled_lines()
+    lines = world.replicated_lines()
     expected = sorted(f"race {number}" for number in range(count))
-    replies = [[str(one) for one in pair] for pair in world.notes["race"]]
+    replies = [[str(one) for one in pair] for pair in world.state["race_replies"]]
     assert lines == expected, (lines, replies)
-    for pair in world.notes["race"]:
+    for pair in world.state["race_replies"]:
         assert any(reply.is_ok for reply in pair), replies
 
 
-def _told(context: Context, outcome: str) -> set[str]:
-    replies = world_of(context).notes["replies"]
+def _lines_told(context: Context, outcome: str) -> set[str]:
+    replies = world_of(context).state["replies"]
     return {name for name, reply in replies.items() if reply.outcome == outcome}
--- a/features/steps/control.py
+++ b/features/steps/control.py
@@ -1,4 +1,4 @@
-"""Steps in which control processes and their disks are lost and come back."""
+"""Steps in which control processes and their disks are lost and restored."""
 
 import shutil
 import time
@@ -7,16 +7,16 @@
 from support.control import ACCEPTED, Change, control_of, users_with
 from support.steps import Context, caller_of, then, when, world_of
 
-# What control itself may keep open to each backend server.
+# Connections that control itself may keep open to each backend server.
 CONTROL_CONNECTIONS = 2
 LOST_ANSWER_SECONDS = 0.001
 
 
 @when("the committed state is noted")
-def note_state(context: Context) -> None:
+def record_state(context: Context) -> None:
     world = world_of(context)
     view = world.deployment.view()
-    world.notes["state"] = (view.groups, view.settings)
+    world.state["committed_state"] = (view.groups, view.settings)
 
 
 @when("all control processes are killed")
@@ -34,7 +34,7 @@
 @when("a control process that does not lead is killed")
 def kill_follower(context: Context) -> None:
     follower = control_of(context).followers()[0]
-    world_of(context).notes["returning"] = follower
+    world_of(context).state["restarted_control"] = follower
     control_of(context).kill(follower)
 
 
@@ -56,15 +56,15 @@
     control.kill(follower)
     shutil.rmtree(world.deployment.folder / follower.name)
     control.restart_killed()
-    world.notes["wiped"] = follower
+    world.state["wiped_control"] = follower
 
 
 @when('the control process without its disk is replaced by "{name:Text}"')
 def replace_wiped(context: Context, name: str) -> None:
     world = world_of(context)
     control = control_of(context)
-    wiped: ControlHandle = world.notes["wiped"]
-    control.give_up(wiped)
+    wiped: ControlHandle = world.state["wiped_control"]
+    control.kill_permanently(wiped)
     handle = world.deployment.start_control(name, wiped.failure_domain)
     control.add_voter(name, handle.address)
     control.remove_voter(wiped.name)
@@ -73,40 +73,40 @@
 
 
 @when('an operator makes {count:d} changes and then lets the user "{user:Text}" in')
-def change_often(context: Context, count: int, user: str) -> None:
+def make_changes(context: Context, count: int, user: str) -> None:
     world = world_of(context)
-    reply = control_of(context).change_often(count + 1, users_with(user))
-    world.notes["reply"] = reply
-    world.notes["overrides"] = users_with(user)
+    reply = control_of(context).make_changes(count + 1, users_with(user))
+    world.state["change_reply"] = reply
+    world.state["overrides"] = users_with(user)
 
 
 @then("the control process that was killed has all changes")
 def has_all_changes(context: Context) -> None:
     world = world_of(context)
     control = control_of(context)
-    returning: ControlHandle = world.notes["returning"]
-    wanted = world.notes["reply"].view_version
+    restarted: ControlHandle = world.state["restarted_control"]
+    wanted = world.state["change_reply"].view_version
 
     def has_all() -> bool:
-        view = control.watch(returning, confirmed=False).view
+        view = control.watch(restarted, confirmed=False).view
         return view is not None and view.version >= wanted
 
     world.eventually("all changes at the process", has_all)
 
 
 @then("settings and groups are as noted")
-def as_noted(context: Context) -> None:
+def state_is_as_recorded(context: Context) -> None:
     world = world_of(context)
     control = control_of(context)
-    noted_groups, noted_settings = world.notes["state"]
+    recorded_groups, recorded_settings = world.state["committed_state"]
     world.eventually("confirmed state", lambda: control.committed() is not None)
     view = control.committed()
-    assert view is not None and view.groups == noted_groups, view
-    assert view.settings == noted_settings, "the settings differ"
+    assert view is not None and view.groups == recorded_groups, view
+    assert view.settings == recorded_settings, "the settings differ"
 
 
 @then("no change of settings is accepted for {seconds:d} seconds")
-def none_accepted(context: Context, seconds: int) -> None:
+def no_change_is_accepted(context: Context, seconds: int) -> None:
     world = world_of(context)
     control = control_of(context)
     settings = _settings(context)
@@ -121,7 +121,7 @@
 
 
 @then("a further change of settings is accepted")
-def one_accepted(context: Context) -> None:
+def change_is_accepted(context: Context) -> None:
     control = control_of(context)
     control.wait_leader()
     version = int(control.root()["version"])
@@ -132,7 +132,7 @@
 
 
 @when("an operator's change is accepted and the leader is killed before it answers")
-def accepted_unanswered(context: Context) -> None:
+def kill_leader_after_commit(context: Context) -> None:
     world = world_of(context)
     control = control_of(context)
     leader = control.wait_leader()
@@ -143,11 +143,11 @@
         "accepted change", lambda: int(control.root()["version"]) == version + 1
     )
     control_of(context).kill(leader)
-    _note_change(context, change)
+    _record_change(context, change)
 
 
 @when("an operator's change reaches the leader alone and the leader is killed")
-def unaccepted(context: Context) -> None:
+def kill_leader_before_commit(context: Context) -> None:
     control = control_of(context)
     leader = control.wait_leader()
     followers = control.followers()
@@ -158,38 +158,38 @@
     assert reply.outcome != ACCEPTED, reply
     control_of(context).kill(leader)
     control.thaw(*followers)
-    _note_change(context, change)
+    _record_change(context, change)
 
 
 @when("the operator sends the change again")
 def resend(context: Context) -> None:
-    notes = world_of(context).notes
-    notes["reply"] = control_of(context).resend(notes["change"])
+    state = world_of(context).state
+    state["change_reply"] = control_of(context).resend(state["change"])
 
 
 @then("the change was accepted with the next version")
-def accepted_next(context: Context) -> None:
-    notes = world_of(context).notes
-    reply, change = notes["reply"], notes["change"]
+def accepted_with_next_version(context: Context) -> None:
+    state = world_of(context).state
+    reply, change = state["change_reply"], state["change"]
     assert reply.outcome == ACCEPTED, reply
     assert reply.version == change.expected_version + 1, (reply, change)
 
 
 @then("the change stands once in the history")
-def stands_once(context: Context) -> None:
+def change_is_once_in_history(context: Context) -> None:
     control = control_of(context)
-    change: Change = world_of(context).notes["change"]
-    assert control.accepted_changes(change.change_id) == 1
+    change: Change = world_of(context).state["change"]
+    assert control.count_in_history(change.change_id) == 1
     root = control.root()
     assert root["version"] == change.expected_version + 1, root["version"]
     assert root["overrides"]["queue_limit"] == change.overrides["queue_limit"]
 
 
 @then("no proxy may write and each control process stands still")
-def nobody_writes(context: Context) -> None:
+def no_proxy_may_write(context: Context) -> None:
     world = world_of(context)
     world.eventually(
-        "end of all grants",
+        "expiry of all grants",
         lambda: not any(map(world.deployment.may_write, world.running_proxies())),
     )
     assert not control_of(context).running
@@ -203,11 +203,11 @@
 
 
 @then("the primary has no connections but those of running processes")
-def no_dead_connections(context: Context) -> None:
+def no_leftover_connections(context: Context) -> None:
     world = world_of(context)
     primary = world.primary()
 
-    def is_so() -> bool:
+    def only_live_connections() -> bool:
         now = int(world.diagnostics(primary)["connections_now"])
         opened = sum(
             usage["open"]
@@ -217,14 +217,14 @@
         )
         return now <= opened + CONTROL_CONNECTIONS
 
-    world.eventually("end of the dead proxy's connections", is_so)
+    world.eventually("closing of the dead proxy's connections", only_live_connections)
 
 
-def _note_change(context: Context, change: Change) -> None:
-    world_of(context).notes["change"] = change
+def _record_change(context: Context, change: Change) -> None:
+    world_of(context).state["change"] = change
 
 
 def _settings(context: Context) -> dict[str, object]:
     world = world_of(context)
-    overrides: dict[str, object] = world.notes.get("overrides", {})
+    overrides: dict[str, object] = world.state.get("overrides", {})
     return {**world.deployment.root_settings(), **overrides}
--- a/features/steps/faults.py
+++ b/features/steps/faults.py
@@ -1,6 +1,6 @@
 """Steps that cause failures of backend servers, control and proxies."""
 
-from support.const import GROUP, PATIENCE_SECONDS
+from support.const import GROUP, TIMEOUT_SECONDS
 from support.steps import Context, given, step, when, world_of
 
 
@@ -29,7 +29,7 @@
 
 
 @when('the replica "{name:Text}" returns with its old data')
-def thaw_stale(context: Context, name: str) -> None:
+def thaw_with_old_data(context: Context, name: str) -> None:
     world = world_of(context)
     world.fault([world.standin(name)], stop_replication=True, freeze=False)
 
@@ -64,17 +64,17 @@
 
 
 @when("every connection to the backend servers falls silent")
-def silence(context: Context) -> None:
+def silence_connections(context: Context) -> None:
     world = world_of(context)
     world.fault(world.running_standins(), silence_connections=True)
 
 
 @when("every connection to the backend servers is cut")
-def cut(context: Context) -> None:
+def cut_connections(context: Context) -> None:
     """Drop the open connections while new ones work.
 
-    The proxies stand still meanwhile, so that none of them meets the moment in
-    which new connections are refused.
+    The proxies are suspended meanwhile, so that none of them connects at the moment
+    at which new connections are refused.
     """
     world = world_of(context)
     processes = world.deployment.processes
@@ -108,25 +108,23 @@
     deployment = world.deployment
     name = f"proxy-{len(deployment.proxies) + 1}"
     proxy = deployment.start_proxy(name, "fd-a")
-    world.notes["proxy"] = proxy
+    world.state["proxy"] = proxy
     deployment.wait_for("grants", lambda: deployment.may_write(proxy))
 
 
 @when("that proxy is killed")
 def kill_proxy(context: Context) -> None:
     world = world_of(context)
-    world.deployment.processes.kill(world.notes["proxy"].name)
+    world.deployment.processes.kill(world.state["proxy"].name)
 
 
 @step("that proxy is asked to stop")
 def terminate_proxy(context: Context) -> None:
     world = world_of(context)
-    world.deployment.processes.terminate(world.notes["proxy"].name)
-    world.eventually(
-        "drain", lambda: "drain_started" in _log(context), PATIENCE_SECONDS
-    )
+    world.deployment.processes.terminate(world.state["proxy"].name)
+    world.eventually("drain", lambda: "drain_started" in _log(context), TIMEOUT_SECONDS)
 
 
 def _log(context: Context) -> str:
     world = world_of(context)
-    return world.deployment.processes.log(world.notes["proxy"].name)
+    return world.deployment.processes.log(world.state["proxy"].name)
--- a/features/steps/leaders.py
+++ b/features/steps/leaders.py
@@ -14,7 +14,7 @@
 
 
 @given("the control leader runs outside of the primary's failure domain")
-def leader_elsewhere(context: Context) -> None:
+def move_leader_to_other_domain(context: Context) -> None:
     world = world_of(context)
     control = control_of(context)
     home = world.primary().failure_domain
@@ -27,13 +27,13 @@
 
 
 @when("an operator makes a change that proxy {number:d} cannot follow")
-def change_unseen(context: Context, number: int) -> None:
-    # The proxy's open poll is answered by it, and nothing later reaches the proxy.
-    control_of(context).change_often(1, {"queue_limit": 60 + number})
+def change_unseen_by_proxy(context: Context, number: int) -> None:
+    # The change answers the proxy's open poll, so that nothing later reaches the proxy.
+    control_of(context).make_changes(1, {"queue_limit": 60 + number})
 
 
 @when("the promotion has begun and the control leader is killed")
-def kill_in_promotion(context: Context) -> None:
+def kill_leader_in_promotion(context: Context) -> None:
     world = world_of(context)
     control = control_of(context)
 
@@ -49,7 +49,7 @@
 def freeze_leader(context: Context) -> None:
     control = control_of(context)
     leader = control.wait_leader()
-    world_of(context).notes["old leader"] = leader
+    world_of(context).state["old_leader"] = leader
     control.freeze(leader)
 
 
@@ -57,25 +57,25 @@
 def new_leader_promotes(context: Context) -> None:
     world = world_of(context)
     control = control_of(context)
-    world.notes["former"] = world.primary()
-    world.notes["term"] = world.deployment.term(GROUP)
-    assert control.wait_leader() != world.notes["old leader"]
+    world.state["former_primary"] = world.primary()
+    world.state["term"] = world.deployment.term(GROUP)
+    assert control.wait_leader() != world.state["old_leader"]
     world.deployment.promote(GROUP)
     world.eventually(
         "new term with grants at every proxy",
         lambda: all(
             state["may_write"]
-            and state["term"] > world.notes["term"]
-            and state["primary"] not in (None, world.notes["former"].name)
+            and state["term"] > world.state["term"]
+            and state["primary"] not in (None, world.state["former_primary"].name)
             for state in _group_states(context)
         ),
     )
 
 
 @when("the other control processes freeze and the old leader goes on")
-def only_old_leader(context: Context) -> None:
+def resume_only_old_leader(context: Context) -> None:
     control = control_of(context)
-    old = world_of(context).notes["old leader"]
+    old = world_of(context).state["old_leader"]
     control.freeze(*control.running)
     control.thaw(old)
 
@@ -83,7 +83,7 @@
 @then("the old leader refuses grants for {seconds:d} seconds")
 def refuses_grants(context: Context, seconds: int) -> None:
     world = world_of(context)
-    old = world.notes["old leader"]
+    old = world.state["old_leader"]
     request = RenewRequest(
         proxy="proxy-1",
         incarnation="asking",
@@ -98,22 +98,22 @@
         except PeerRefusedError as error:
             assert error.code == NOT_LEADER, error
         else:
-            raise AssertionError(f"the old leader gave {answer}")
+            raise AssertionError(f"the old leader renewed a grant: {answer}")
         time.sleep(POLL_SECONDS * 5)
 
 
 @then("no proxy may write once its grant has run out")
-def no_grants(context: Context) -> None:
+def all_grants_expire(context: Context) -> None:
     world = world_of(context)
     world.eventually(
-        "end of all grants",
+        "expiry of all grants",
         lambda: not any(map(world.deployment.may_write, world.running_proxies())),
     )
 
 
 @then("no proxy goes back to the old term")
-def no_old_term(context: Context) -> None:
-    old_term = world_of(context).notes["term"]
+def no_proxy_in_old_term(context: Context) -> None:
+    old_term = world_of(context).state["term"]
     states = _group_states(context)
     assert all(state["term"] > old_term for state in states), states
 
@@ -130,7 +130,7 @@
 
 
 def _group_states(context: Context) -> list[dict[str, Any]]:
-    """Return how each running proxy sees the group."""
+    """Return the group's state as each running proxy reports it."""
     world = world_of(context)
     return [
         state
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -1,4 +1,4 @@
-"""Steps about backend servers that leave."""
+"""Steps about backend servers that are leaving."""
 
 import threading
 import time
@@ -11,7 +11,7 @@
 
 
 class BusyCallers:
-    """Callers that send one statement again and again, each at another proxy."""
+    """Callers that send one statement repeatedly, spread over three proxies."""
 
     def __init__(self, context: Context, count: int, sql: str) -> None:
         world = world_of(context)
@@ -28,22 +28,22 @@
 
     @property
     def answered(self) -> list[int]:
-        """Count the answers of each caller."""
+        """Return the number of answers to each caller."""
         return [sum(r.is_ok for r in caller.replies) for caller in self._callers]
 
     @property
     def errors(self) -> list[str]:
-        """Return the replies that were no answer."""
+        """Return the replies that were errors."""
         replies = [reply for caller in self._callers for reply in caller.replies]
         return [str(reply) for reply in replies if not reply.is_ok]
 
     def set_up(self) -> None:
-        """Begin."""
+        """Start the callers."""
         for thread in self._threads:
             thread.start()
 
     def unload(self) -> None:
-        """Stop."""
+        """Stop the callers."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
@@ -82,18 +82,18 @@
 def primary_leaves(context: Context) -> None:
     world = world_of(context)
     primary = world.primary()
-    world.notes["former"] = primary
+    world.state["former_primary"] = primary
     world.fault([primary], leaving=True)
 
 
 @then('the replica "{name:Text}" serves no statement for {seconds:d} seconds')
-def serves_nothing(context: Context, name: str, seconds: int) -> None:
+def replica_serves_nothing(context: Context, name: str, seconds: int) -> None:
     _assert_idle(context, world_of(context).standin(name), seconds)
 
 
 @then("the former primary serves no statement for {seconds:d} seconds")
 def former_serves_nothing(context: Context, seconds: int) -> None:
-    _assert_idle(context, world_of(context).notes["former"], seconds)
+    _assert_idle(context, world_of(context).state["former_primary"], seconds)
 
 
 @then("all reads went on meanwhile")
@@ -111,11 +111,11 @@
     busy = BusyCallers(context, count, sql)
     context.add_cleanup(busy.unload)
     busy.set_up()
-    world_of(context).notes["busy"] = busy
+    world_of(context).state["busy_callers"] = busy
 
 
 def _assert_answered(context: Context) -> BusyCallers:
-    busy: BusyCallers = world_of(context).notes["busy"]
+    busy: BusyCallers = world_of(context).state["busy_callers"]
     before = busy.answered
     world_of(context).eventually(
         "answer to each caller",
@@ -127,18 +127,18 @@
 
 
 def _assert_idle(context: Context, standin: StandinHandle, seconds: int) -> None:
-    """Assert that a server runs nothing; opening a connection is no work.
+    """Assert that a server runs no statement but those that set up a connection.
 
-    Proxies go on to probe a server that leaves. Beside load a probe times out, the
-    next one connects again, and that alone shows as one statement of the set-up.
+    Proxies continue to probe a server that is leaving. When a probe times out under
+    load, the next one connects again, which shows as one statement of the set-up.
     """
     before = _statements(context, standin)
     time.sleep(seconds)
     after = world_of(context).diagnostics(standin)
     served = int(after["statements"]) - before
     newest = after["recent_statements"][-served:] if served else []
-    work = [sql for sql in newest if sql != SQL_SET_NAMES]
-    assert not work, f"{standin.name} served {served} statements: {work}"
+    statements = [sql for sql in newest if sql != SQL_SET_NAMES]
+    assert not statements, f"{standin.name} served {served} statements: {statements}"
 
 
 def _statements(context: Context, standin: StandinHandle) -> int:
--- a/features/steps/membership.py
+++ b/features/steps/membership.py
@@ -1,4 +1,4 @@
-"""Steps about backend servers that come, go and move."""
+"""Steps about backend servers that are added, removed or moved."""
 
 import time
 
@@ -6,11 +6,11 @@
 from dogwoodspool_common import HttpError
 from dogwoodspool_testbed import StandinHandle
 from support.callers import Caller
-from support.const import GROUP, PATIENCE_SECONDS, POLL_SECONDS
+from support.const import GROUP, POLL_SECONDS, TIMEOUT_SECONDS
 from support.control import control_of
 from support.steps import Context, step, then, when, world_of
 
-# Control drops a silent replica after 30 s.
+# Control removes a silent replica after 30 s.
 DROPPED_SECONDS = 90.0
 DOWN_SECONDS = 1.2
 UP_SECONDS = 0.4
@@ -36,7 +36,7 @@
 
 
 @when('the replica "{name:Text}" is killed and starts again at another port')
-def move(context: Context, name: str) -> None:
+def restart_at_other_port(context: Context, name: str) -> None:
     world = world_of(context)
     old = world.standin(name)
     assert old != world.primary()
@@ -54,17 +54,17 @@
 
 
 @then("all backend servers come to the same position")
-def same_position(context: Context) -> None:
-    world_of(context).settled_lines()
+def servers_reach_same_position(context: Context) -> None:
+    world_of(context).replicated_lines()
 
 
 @when('the link from "{domain:Text}" to the primary goes down and up {count:d} times')
-def flap(context: Context, domain: str, count: int) -> None:
+def flap_link(context: Context, domain: str, count: int) -> None:
     world = world_of(context)
     primary = world.primary()
     assert primary.failure_domain != domain, primary
-    world.notes["former"] = primary
-    world.notes["term"] = world.deployment.term(GROUP)
+    world.state["former_primary"] = primary
+    world.state["term"] = world.deployment.term(GROUP)
     for _number in range(count):
         world.fault([primary], cut_failure_domains=[domain])
         time.sleep(DOWN_SECONDS)
@@ -88,7 +88,7 @@
 @when('all servers of the group "{group:Text}" are killed')
 def kill_group(context: Context, group: str) -> None:
     world = world_of(context)
-    world.notes["lost primary"] = world.deployment.primary(group).name
+    world.state["lost_primary"] = world.deployment.primary(group).name
     for standin in _standins(context, group):
         world.deployment.processes.kill(standin.name)
 
@@ -96,13 +96,13 @@
 @then('the server "{name:Text}" is dropped in the end')
 def is_dropped(context: Context, name: str) -> None:
     world_of(context).eventually(
-        f"end of {name}", lambda: name not in _servers(context), DROPPED_SECONDS
+        f"removal of {name}", lambda: name not in _servers(context), DROPPED_SECONDS
     )
 
 
 @then('the primary of the group "{group:Text}" is still known for {seconds:d} seconds')
 def is_still_known(context: Context, group: str, seconds: int) -> None:
-    name = world_of(context).notes["lost primary"]
+    name = world_of(context).state["lost_primary"]
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         servers = _servers(context)
@@ -123,7 +123,7 @@
     sql = "CREATE TABLE IF NOT EXISTS again (id INT PRIMARY KEY)"
     try:
         world.eventually(
-            f"write in {group}", lambda: caller.run(sql).is_ok, PATIENCE_SECONDS * 2
+            f"write in {group}", lambda: caller.run(sql).is_ok, TIMEOUT_SECONDS * 2
         )
     except (HttpError, pymysql.MySQLError) as error:
         raise AssertionError(error) from error
--- a/features/steps/promotions.py
+++ b/features/steps/promotions.py
@@ -1,10 +1,10 @@
-"""Steps about primaries that are cut off, replaced and return."""
+"""Steps about primaries that are cut off, are replaced and return."""
 
 import time
 
 from dogwoodspool_common import HttpError
 from dogwoodspool_testbed import StandinHandle
-from support.const import GROUP, NOT_RUN, OK, PATIENCE_SECONDS, POLL_SECONDS
+from support.const import GROUP, NOT_RUN, OK, POLL_SECONDS, TIMEOUT_SECONDS
 from support.control import control_of
 from support.steps import Context, caller_of, given, step, then, when, world_of
 from support.writers import Writers
@@ -25,7 +25,7 @@
     world = world_of(context)
     caller_of(context, name).start(world.insert(line), deadline_ms=LONG_DEADLINE_MS)
     primary = world.primary()
-    world.notes["former"] = primary
+    world.state["former_primary"] = primary
     world.eventually(
         f"{line} in flight", lambda: world.diagnostics(primary)["slots_in_use"] > 0
     )
@@ -47,7 +47,7 @@
 def cut_primary(context: Context) -> None:
     world = world_of(context)
     primary = world.primary()
-    world.notes["former"] = primary
+    world.state["former_primary"] = primary
     domains = world.deployment.shape.failure_domains
     others = [domain for domain in domains if domain != primary.failure_domain]
     world.fault([primary], cut_failure_domains=others)
@@ -58,21 +58,21 @@
     world = world_of(context)
     primary = world.primary()
     assert primary.failure_domain != domain, primary
-    world.notes["former"] = primary
-    world.notes["term"] = world.deployment.term(GROUP)
+    world.state["former_primary"] = primary
+    world.state["term"] = world.deployment.term(GROUP)
     world.fault([primary], cut_failure_domains=[domain])
 
 
 @when("the link to the primary heals")
-def heal(context: Context) -> None:
+def restore_link(context: Context) -> None:
     world = world_of(context)
-    world.fault([world.notes["former"]], cut_failure_domains=[])
+    world.fault([world.state["former_primary"]], cut_failure_domains=[])
 
 
 @step("another server becomes primary")
 def another_primary(context: Context) -> None:
     world = world_of(context)
-    former: StandinHandle = world.notes["former"]
+    former: StandinHandle = world.state["former_primary"]
 
     control = control_of(context)
 
@@ -95,30 +95,30 @@
 
 
 @when("the primary is moved")
-def move_primary(context: Context) -> None:
+def change_primary(context: Context) -> None:
     world = world_of(context)
-    world.notes["former"] = world.primary()
+    world.state["former_primary"] = world.primary()
     world.deployment.promote(GROUP)
     another_primary(context)
     all_may_write(context)
 
 
 @given("the primary is to be lost")
-def note_primary(context: Context) -> None:
+def record_primary(context: Context) -> None:
     world = world_of(context)
-    world.notes["former"] = world.primary()
+    world.state["former_primary"] = world.primary()
 
 
 @when("the former primary starts again at another port")
 def restart_former(context: Context) -> None:
     world = world_of(context)
-    world.notes["former"] = world.restart_standin(world.notes["former"])
+    world.state["former_primary"] = world.restart_standin(world.state["former_primary"])
 
 
 @then("the former primary follows the new one with its term")
 def former_follows(context: Context) -> None:
     world = world_of(context)
-    former: StandinHandle = world.notes["former"]
+    former: StandinHandle = world.state["former_primary"]
     term = world.deployment.term(GROUP)
 
     def follows() -> bool:
@@ -134,16 +134,16 @@
 @given("{count:d} callers that write all the time")
 def write_all_the_time(context: Context, count: int) -> None:
     writers = Writers(world_of(context), count)
-    world_of(context).notes["writers"] = writers
+    world_of(context).state["writers"] = writers
     writers.set_up()
 
 
 @when("{count:d} planned changes of primary follow one another")
-def planned_changes(context: Context, count: int) -> None:
+def switch_over_repeatedly(context: Context, count: int) -> None:
     world = world_of(context)
     for _number in range(count):
         old = world.primary_name()
-        written = len(world.notes["writers"].lines(OK))
+        written = len(world.state["writers"].lines(OK))
         world.deployment.promote(GROUP)
         world.eventually(
             "change of primary",
@@ -153,34 +153,34 @@
         world.eventually(
             "writes at the new primary",
             lambda written=written: (
-                len(world.notes["writers"].lines(OK)) > written + 10
+                len(world.state["writers"].lines(OK)) > written + 10
             ),
         )
 
 
 @when("the callers stop to write")
 def stop_writing(context: Context) -> None:
-    world_of(context).notes["writers"].unload()
+    world_of(context).state["writers"].unload()
 
 
 @then("each acknowledged line is once at every backend server")
 def acknowledged_once(context: Context) -> None:
     world = world_of(context)
-    writers: Writers = world.notes["writers"]
-    lines = world.settled_lines()
+    writers: Writers = world.state["writers"]
+    lines = world.replicated_lines()
     acknowledged = writers.lines(OK)
     lost = acknowledged - set(lines)
-    doubled = {line for line in writers.told if lines.count(line) > 1}
-    assert acknowledged, "nothing was acknowledged"
+    doubled = {line for line in writers.outcomes if lines.count(line) > 1}
+    assert acknowledged, "no write was acknowledged"
     assert not lost, sorted(lost)
     assert not doubled, sorted(doubled)
 
 
 @then("no refused line is at any backend server")
-def refused_absent(context: Context) -> None:
+def refused_lines_are_absent(context: Context) -> None:
     world = world_of(context)
-    writers: Writers = world.notes["writers"]
-    present = writers.lines(NOT_RUN) & set(world.settled_lines())
+    writers: Writers = world.state["writers"]
+    present = writers.lines(NOT_RUN) & set(world.replicated_lines())
     assert not present, sorted(present)
 
 
@@ -192,7 +192,7 @@
         _assert_same_primary(context)
         time.sleep(POLL_SECONDS * 10)
     _assert_same_primary(context)
-    assert world.primary() == world.notes["former"]
+    assert world.primary() == world.state["former_primary"]
 
 
 @then("proxy {number:d} may write again")
@@ -203,7 +203,7 @@
 
 
 @given('the replica "{name:Text}" lags by {milliseconds:d} ms')
-def lags(context: Context, name: str, milliseconds: int) -> None:
+def set_replication_lag(context: Context, name: str, milliseconds: int) -> None:
     world = world_of(context)
     world.fault([world.standin(name)], lag_ms=milliseconds)
 
@@ -214,12 +214,12 @@
     world.eventually(
         "grants at every proxy",
         lambda: all(map(world.deployment.may_write, world.running_proxies())),
-        PATIENCE_SECONDS * 2,
+        TIMEOUT_SECONDS * 2,
     )
 
 
 def _assert_same_primary(context: Context) -> None:
     world = world_of(context)
     found = (world.primary_name(), world.deployment.term(GROUP))
-    expected = (world.notes["former"].name, world.notes["term"])
+    expected = (world.state["former_primary"].name, world.state["term"])
     assert found == expected, (found, expected)
--- a/features/steps/shutdown.py
+++ b/features/steps/shutdown.py
@@ -1,15 +1,15 @@
 """Steps about a proxy that is asked to stop."""
 
 import urllib3
-from support.const import PATIENCE_SECONDS
+from support.const import TIMEOUT_SECONDS
 from support.steps import Context, then, when, world_of
 
 
 @then("that proxy exits with status {status:d}")
-def exits(context: Context, status: int) -> None:
+def proxy_exits(context: Context, status: int) -> None:
     world = world_of(context)
-    name = world.notes["proxy"].name
-    found = world.deployment.processes.wait(name, PATIENCE_SECONDS)
+    name = world.state["proxy"].name
+    found = world.deployment.processes.wait(name, TIMEOUT_SECONDS)
     assert found == status, found
 
 
@@ -17,7 +17,7 @@
     '"{ready:Text}" of that proxy answers {refusal:d} while "{live:Text}" answers '
     "{ok:d}"
 )
-def pages_answer(
+def health_endpoints_answer(
     context: Context, ready: str, refusal: int, live: str, ok: int
 ) -> None:
     found = [_status(context, path) for path in (ready, live)]
@@ -25,7 +25,7 @@
 
 
 @when('the line "{line:Text}" is being written at the primary')
-def being_written(context: Context, line: str) -> None:
+def line_is_being_written(context: Context, line: str) -> None:
     world = world_of(context)
     primary = world.primary()
     world.eventually(
@@ -34,6 +34,6 @@
 
 
 def _status(context: Context, path: str) -> int:
-    proxy = world_of(context).notes["proxy"]
+    proxy = world_of(context).state["proxy"]
     url = f"http://{proxy.http_address}{path}"
     return urllib3.request("GET", url, timeout=5.0, retries=False).status
--- a/features/steps/transactions.py
+++ b/features/steps/transactions.py
@@ -1,4 +1,4 @@
-"""Steps of transactions."""
+"""Steps about transactions."""
 
 from support.steps import Context, caller_of, given, step, then, when, world_of
 
@@ -27,7 +27,7 @@
 
 
 @step('"{name:Text}" commits and is told "{outcome:Text}"')
-def commit_with(context: Context, name: str, outcome: str) -> None:
+def commit_is_told(context: Context, name: str, outcome: str) -> None:
     reply = caller_of(context, name).run("COMMIT", deadline_ms=20_000)
     assert reply.outcome == outcome.rstrip(":"), reply
 
@@ -39,15 +39,15 @@
 
 
 @when('"{name:Text}" vanishes')
-def vanish(context: Context, name: str) -> None:
-    caller_of(context, name).vanish()
+def disconnect(context: Context, name: str) -> None:
+    caller_of(context, name).disconnect()
 
 
 @when('"{name:Text}" reads in a transaction on a replica')
 def read_on_replica(context: Context, name: str) -> None:
-    """Begin again where the transaction runs on the primary.
+    """Begin again if the transaction runs on the primary.
 
-    That is where a read may go as long as no replica is known to have the line.
+    A read may go to the primary as long as no replica is known to have the line.
     """
     world = world_of(context)
 
@@ -74,7 +74,7 @@
         servers = world.deployment.view().servers
         return held <= {server.server for server in servers if server.is_leaving}
 
-    world.eventually("leaving in force", is_in_force)
+    world.eventually("leaving server in the view", is_in_force)
 
 
 def _replicas_in_use(context: Context, name: str) -> set[str]:
@@ -86,10 +86,12 @@
 
 @then('"{name:Text}" reads from the primary as soon as it can')
 def reads_primary(context: Context, name: str) -> None:
-    """Read as an unknown session, which is safe at the primary only."""
+    """Read as an unknown session, for which only the primary is known to be fresh."""
     world = world_of(context)
     caller = caller_of(context, name)
-    world.eventually("answer", lambda: caller.run(world.select()).is_ok)
+    world.eventually(
+        "answer from the primary", lambda: caller.run(world.select()).is_ok
+    )
 
 
 @then('"{name:Text}" has read the line "{line:Text}"')
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the steps share: callers, rows on backend servers, shapes of deployments."""
+"""Code shared by the steps: callers, control, a scenario's world, deployment shapes."""
--- a/features/support/callers.py
+++ b/features/support/callers.py
@@ -1,4 +1,4 @@
-"""Callers: connections of a stock driver with what the proxy answers them."""
+"""Callers: connections of a standard driver, with the proxy's replies to them."""
 
 import re
 import time
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller got for one statement.
+    """Reply to one statement, as its caller received it.
 
     Attributes:
         outcome: first word of the error message; ``ok`` for an answer and ``lost``
@@ -35,12 +35,12 @@
 
     @property
     def is_ok(self) -> bool:
-        """Tell whether the statement was answered."""
+        """Return whether the statement was answered."""
         return self.outcome == OK
 
     @property
     def retry_after_ms(self) -> int | None:
-        """Return when to come back, None where the answer does not say."""
+        """Return the delay before a retry, None if the reply does not state one."""
         found = _RETRY_AFTER.search(self.text)
         return int(found.group(1)) if found else None
 
@@ -67,13 +67,13 @@
         self.connection: CallerConnection = deployment.connect(proxy, group, **options)
 
     @property
-    def has_started(self) -> bool:
-        """Tell whether the reply to a started statement was not looked at yet."""
+    def has_pending_reply(self) -> bool:
+        """Return whether the reply to a started statement was not collected yet."""
         return self._pending is not None
 
     def run(self, sql: str, **properties: object) -> Reply:
         """Send a statement and wait for its reply."""
-        return self._note(self._run(sql, properties))
+        return self._record(self._run(sql, properties))
 
     def start(self, sql: str, **properties: object) -> None:
         """Send a statement without waiting for its reply."""
@@ -84,7 +84,7 @@
         """Wait for the reply to the statement that was started."""
         assert self._pending is not None
         pending, self._pending = self._pending, None
-        return self._note(pending.result(seconds))
+        return self._record(pending.result(seconds))
 
     def token(self) -> str:
         """Return the connection's session token."""
@@ -92,13 +92,13 @@
         assert reply.is_ok, reply
         return str(reply.rows[0][0])
 
-    def vanish(self) -> None:
-        """Close the socket without a word, as a caller's death does."""
+    def disconnect(self) -> None:
+        """Close the socket without a quit message, as when a caller's process dies."""
         self.connection._force_close()  # type: ignore[attr-defined]
 
     def close(self) -> None:
-        """End the connection whatever state it is in."""
-        self.vanish()
+        """Close the connection in whatever state it is."""
+        self.disconnect()
         self._executor.shutdown(wait=False)
 
     def _run(self, sql: str, properties: dict[str, object]) -> Reply:
@@ -119,7 +119,7 @@
         seconds = time.monotonic() - began_at
         return Reply(OK, "", rows, int(count), seconds)
 
-    def _note(self, reply: Reply) -> Reply:
+    def _record(self, reply: Reply) -> Reply:
         self.last = reply
         self.replies.append(reply)
         return reply
--- a/features/support/const.py
+++ b/features/support/const.py
@@ -5,9 +5,9 @@
 GROUP: Final = "orders"
 OTHER_GROUP: Final = "chat"
 
-# Generous: a busy machine must not change a verdict.
-PATIENCE_SECONDS: Final = 20.0
-AT_ONCE_SECONDS: Final = 3.0
+# Long enough that load on the machine does not change the result of a scenario.
+TIMEOUT_SECONDS: Final = 20.0
+PROMPT_REPLY_SECONDS: Final = 3.0
 POLL_SECONDS: Final = 0.02
 
 OK: Final = "ok"
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -1,4 +1,4 @@
-"""The control group: its processes, its settings and who leads it."""
+"""The control group: its processes, its leader and its settings."""
 
 import time
 import uuid
@@ -20,20 +20,20 @@
 from dogwoodspool_testbed import ControlHandle, Deployment, ProxyHandle
 from dogwoodspool_testbed.const import CALLER_PASSWORD, CALLER_USER
 
-from .const import GROUP, PATIENCE_SECONDS, POLL_SECONDS
+from .const import GROUP, POLL_SECONDS, TIMEOUT_SECONDS
 from .steps import Context, world_of
 
 ROOT_PATH: Final = "/"
 ACCEPTED: Final = "accepted"
 UNANSWERED: Final = "unanswered"
 NOT_LEADER: Final = "not_leader"
-SHORT_SECONDS: Final = 1.0
-VOTER_SECONDS: Final = 15.0
+REQUEST_SECONDS: Final = 1.0
+VOTER_CHANGE_SECONDS: Final = 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One operator's change of the root's settings."""
+    """An operator's change of the root node's settings."""
 
     overrides: dict[str, Any] = field(repr=False)
     expected_version: int
@@ -41,7 +41,7 @@
     author: str = "operator"
 
     def body(self) -> dict[str, Any]:
-        """Return the message to control."""
+        """Return the body of the request to control."""
         return {
             "change_id": self.change_id,
             "path": ROOT_PATH,
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeReply:
-    """What an operator was told of a change.
+    """Reply to an operator's change.
 
     Attributes:
         outcome: ``accepted``, ``unanswered`` or the code of the refusal.
-        version: version of the node since then.
-        view_version: version of the committed state since then.
+        version: version of the node after the change.
+        view_version: version of the committed state after the change.
     """
 
     outcome: str
@@ -67,7 +67,7 @@
 
 
 class ControlGroup:
-    """Act on a deployment's control processes one by one."""
+    """Operate a deployment's control processes individually."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -76,7 +76,7 @@
 
     @property
     def running(self) -> list[ControlHandle]:
-        """The control processes that run and are not frozen."""
+        """Return the control processes that run and are not frozen."""
         processes = self._deployment.processes
         return [
             control
@@ -89,7 +89,7 @@
         return next(one for one in self._deployment.controls if one.name == name)
 
     def leader(self) -> ControlHandle | None:
-        """Return the process that surely leads now, None without one."""
+        """Return the process that reports itself as the leader, None without one."""
         for control in self.running:
             try:
                 if self.status(control)["is_leader"]:
@@ -99,13 +99,15 @@
         return None
 
     def wait_leader(self) -> ControlHandle:
-        """Wait until one of the processes leads."""
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        """Wait until one of the processes leads, and return it."""
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while True:
             leader = self.leader()
             if leader is not None:
                 return leader
-            assert time.monotonic() < deadline, "no control leader"
+            assert time.monotonic() < deadline, (
+                f"no control leader within {TIMEOUT_SECONDS} s"
+            )
             time.sleep(POLL_SECONDS)
 
     def followers(self) -> list[ControlHandle]:
@@ -114,36 +116,36 @@
         return [control for control in self.running if control != leader]
 
     def freeze(self, *controls: ControlHandle) -> None:
-        """Let processes stand still."""
+        """Suspend processes."""
         for control in controls:
             self._deployment.processes.freeze(control.name)
             self._frozen.add(control.name)
 
     def thaw(self, *controls: ControlHandle) -> None:
-        """Let processes go on."""
+        """Resume suspended processes."""
         for control in controls:
             if control.name in self._frozen:
                 self._deployment.processes.thaw(control.name)
                 self._frozen.discard(control.name)
 
-    def give_up(self, control: ControlHandle) -> None:
-        """End a process that is not to start again."""
+    def kill_permanently(self, control: ControlHandle) -> None:
+        """Kill a process that is not to be restarted."""
         self.kill(control)
         self._killed.remove(control)
 
     def thaw_all(self) -> None:
-        """Let every process go on."""
+        """Resume every suspended process."""
         self.thaw(*self._deployment.controls)
 
     def kill(self, *controls: ControlHandle) -> None:
-        """End processes at once."""
+        """Kill processes."""
         for control in controls:
             self._deployment.processes.kill(control.name)
             self._frozen.discard(control.name)
             self._killed.append(control)
 
     def restart_killed(self) -> None:
-        """Start the processes that were killed."""
+        """Restart the killed processes and wait until they are ready."""
         controls, self._killed = self._killed, []
         for control in controls:
             self._deployment.processes.restart(control.name)
@@ -151,16 +153,16 @@
             self._deployment.processes.ready(control.name)
 
     def status(self, control: ControlHandle) -> dict[str, Any]:
-        """Return what a process says of itself and of the system."""
+        """Return the status that a process reports of itself and of the system."""
         return self._get(control, PATH_STATUS)
 
     def watch(self, control: ControlHandle, *, confirmed: bool) -> WatchResponse:
-        """Read the committed state as one process has it."""
+        """Read the committed state from one process."""
         query = {"after": "0", "wait_ms": "0", "confirmed": str(int(confirmed))}
         return WatchResponse.model_validate(self._get(control, PATH_WATCH, query))
 
     def committed(self) -> ControlView | None:
-        """Return the state that a quorum confirms, None while none does."""
+        """Return the state that a quorum confirms, None while there is no quorum."""
         for control in self.running:
             try:
                 return self.watch(control, confirmed=True).view
@@ -169,15 +171,15 @@
         return None
 
     def root(self) -> dict[str, Any]:
-        """Return version and overrides of the root, confirmed by a quorum."""
+        """Return version and overrides of the root node, confirmed by a quorum."""
         answer = self._get(self.wait_leader(), PATH_SETTINGS_TREE)
         found: dict[str, Any] = next(
             node for node in answer["nodes"] if node["path"] == ROOT_PATH
         )
         return found
 
-    def accepted_changes(self, change_id: str) -> int:
-        """Count how often a change stands in the history."""
+    def count_in_history(self, change_id: str) -> int:
+        """Return how often a change is in the history."""
         query = {"limit": "500"}
         answer = self._get(self.wait_leader(), PATH_SETTINGS_HISTORY, query)
         return [entry["change_id"] for entry in answer["entries"]].count(change_id)
@@ -202,18 +204,18 @@
         return ChangeReply(ACCEPTED, answer["version"], answer["view_version"])
 
     def resend(self, change: Change) -> ChangeReply:
-        """Send a change until it gets a clear answer."""
-        unclear = {UNANSWERED, NOT_LEADER, "outcome_unknown", "not_confirmed"}
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        """Send a change until its outcome is known."""
+        inconclusive = {UNANSWERED, NOT_LEADER, "outcome_unknown", "not_confirmed"}
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         reply = self.change(change)
-        while reply.outcome in unclear:
+        while reply.outcome in inconclusive:
             assert time.monotonic() < deadline, reply
             time.sleep(POLL_SECONDS)
             reply = self.change(change)
         return reply
 
-    def change_often(self, count: int, overrides: dict[str, Any]) -> ChangeReply:
-        """Make many changes one after the other; the last sets the overrides."""
+    def make_changes(self, count: int, overrides: dict[str, Any]) -> ChangeReply:
+        """Make changes one after the other; the last one sets the overrides."""
         version = int(self.root()["version"])
         base = self._deployment.root_settings()
         for number in range(count - 1):
@@ -226,25 +228,25 @@
         return reply
 
     def add_voter(self, name: str, address: Address) -> None:
-        """Have the leader take in a voter."""
+        """Add a voter through the leader."""
         self._change_voters({"voter": name, "address": str(address)})
 
     def remove_voter(self, name: str) -> None:
-        """Have the leader drop a voter."""
+        """Remove a voter through the leader."""
         self._change_voters({"voter": name, "address": None})
 
     def voters(self) -> set[str]:
-        """Return the names of those that vote, as the leader has it."""
+        """Return the names of the voters that the leader reports."""
         members = self.status(self.wait_leader())["voters"]
         return {one["node_id"] for one in members if one["is_voter"]}
 
     def _change_voters(self, body: dict[str, Any]) -> None:
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while True:
             leader = self.wait_leader()
             try:
                 self._deployment.client.post(
-                    leader.address, PATH_VOTERS, body, VOTER_SECONDS
+                    leader.address, PATH_VOTERS, body, VOTER_CHANGE_SECONDS
                 )
             except HttpError as error:
                 assert time.monotonic() < deadline, error
@@ -256,26 +258,26 @@
         self, control: ControlHandle, path: str, query: dict[str, str] | None = None
     ) -> dict[str, Any]:
         client = self._deployment.client
-        return client.get(control.address, path, query, SHORT_SECONDS * 3)
+        return client.get(control.address, path, query, REQUEST_SECONDS * 3)
 
 
 def control_of(context: Context) -> ControlGroup:
     """Return the control group of the scenario's deployment."""
     world = world_of(context)
-    if "control" not in world.notes:
-        world.notes["control"] = ControlGroup(world.deployment)
-    group: ControlGroup = world.notes["control"]
+    if "control" not in world.state:
+        world.state["control"] = ControlGroup(world.deployment)
+    group: ControlGroup = world.state["control"]
     return group
 
 
 def users_with(name: str) -> dict[str, Any]:
-    """Return the setting that also lets a user in, with the callers' password."""
+    """Return the setting that also admits a user, with the callers' password."""
     names = (CALLER_USER, name)
     return {"users": {one: hash_password(CALLER_PASSWORD) for one in names}}
 
 
 def can_log_in(proxy: ProxyHandle, user: str) -> bool:
-    """Tell whether a proxy lets a user in."""
+    """Return whether a proxy accepts the login of a user."""
     try:
         connection = pymysql.connect(
             host=proxy.address.host,
--- a/features/support/shapes.py
+++ b/features/support/shapes.py
@@ -1,4 +1,4 @@
-"""Shapes of the deployments on which the features run, by the feature's tag."""
+"""Shapes of the deployments on which the features run, by tag."""
 
 from typing import Final
 
@@ -6,17 +6,19 @@
 
 from .const import GROUP, OTHER_GROUP
 
-# Eleven connections, two of them kept for control, leave one for each of the nine
-# proxies that may register: all callers of a proxy share one connection.
-SCARCE: Final = StandinShape(connections=11)
+# Eleven connections, two of them reserved for control, leave one for each of the nine
+# proxies that may register, so that all callers of a proxy share one connection.
+LIMITED_CONNECTIONS: Final = StandinShape(connections=11)
 
 DEFAULT_SHAPE: Final = DeploymentShape()
 
 SHAPES: Final = {
     "ample-connections": DEFAULT_SHAPE,
-    "transactions": DeploymentShape(standin=SCARCE),
-    "whole-answers": DeploymentShape(standin=SCARCE),
-    "not-run": DeploymentShape(standin=SCARCE, root_settings={"queue_limit": 2}),
+    "transactions": DeploymentShape(standin=LIMITED_CONNECTIONS),
+    "whole-answers": DeploymentShape(standin=LIMITED_CONNECTIONS),
+    "not-run": DeploymentShape(
+        standin=LIMITED_CONNECTIONS, root_settings={"queue_limit": 2}
+    ),
     "membership": DeploymentShape(groups=(GROUP, OTHER_GROUP)),
 }
 
--- a/features/support/steps.py
+++ b/features/support/steps.py
@@ -1,4 +1,4 @@
-"""The decorators of the steps, with the types of their parameters."""
+"""Step decorators, with the types of the parameters of step patterns."""
 
 import parse
 from behave import given, register_type, step, then, when
@@ -11,7 +11,7 @@
 
 
 def _text(value: str) -> str:
-    """Read what stands between two quotation marks."""
+    """Return the text between two quotation marks."""
     return value
 
 
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -1,4 +1,4 @@
-"""One scenario's deployment, callers and table, and what it must put back."""
+"""One scenario's deployment, callers and table, and how they are restored after it."""
 
 import dataclasses
 import time
@@ -10,43 +10,43 @@
 from dogwoodspool_testbed import Deployment, ProxyHandle, StandinHandle
 
 from .callers import Caller
-from .const import GROUP, NO_FAULTS, PATIENCE_SECONDS, POLL_SECONDS
+from .const import GROUP, NO_FAULTS, POLL_SECONDS, TIMEOUT_SECONDS
 
 PATH_DIAGNOSTICS = "/v1/diagnostics"
 
 
 class World:
-    """What the steps of one scenario work on.
+    """State that the steps of one scenario share.
 
     Attributes:
         deployment: the running processes.
         table: a table that only this scenario uses.
         callers: the scenario's callers by name.
-        notes: values that one step leaves for a later one.
+        state: values that one step stores for a later one.
     """
 
     def __init__(self, deployment: Deployment, number: int) -> None:
         self.deployment = deployment
         self.table = f"lines_{number}"
         self.callers: dict[str, Caller] = {}
-        self.notes: dict[str, Any] = {}
+        self.state: dict[str, Any] = {}
         self._has_changed_settings = False
 
     def set_up(self) -> None:
         """Create the scenario's table and wait until every server has it."""
-        setter = Caller(self.deployment, self.deployment.proxies[0])
+        caller = Caller(self.deployment, self.deployment.proxies[0])
         try:
             sql = (
                 f"CREATE TABLE IF NOT EXISTS {self.table} "
                 "(id BIGINT PRIMARY KEY AUTO_INCREMENT, body TEXT)"
             )
-            self.eventually("a table", lambda: setter.run(sql).is_ok)
+            self.eventually("the scenario's table", lambda: caller.run(sql).is_ok)
         finally:
-            setter.close()
+            caller.close()
         self.wait_replicated()
 
     def unload(self) -> None:
-        """Close the callers and put faults and settings back."""
+        """Close the callers, and restore processes, faults and settings."""
         for caller in self.callers.values():
             caller.close()
         self._restore_processes()
@@ -77,12 +77,14 @@
         self,
         what: str,
         condition: Callable[[], bool],
-        seconds: float = PATIENCE_SECONDS,
+        seconds: float = TIMEOUT_SECONDS,
     ) -> None:
         """Wait until a condition holds; fail the step when it does not."""
         deadline = time.monotonic() + seconds
         while not condition():
-            assert time.monotonic() < deadline, f"no {what} within {seconds} s"
+            assert time.monotonic() < deadline, (
+                f"waiting for {what} timed out after {seconds} s"
+            )
             time.sleep(POLL_SECONDS)
 
     def primary(self) -> StandinHandle:
@@ -127,7 +129,7 @@
         ]
 
     def diagnostics(self, standin: StandinHandle) -> dict[str, Any]:
-        """Return a backend server's own counters."""
+        """Return the diagnostics of a backend server."""
         client = self.deployment.client
         return client.get(standin.control_address, PATH_DIAGNOSTICS)
 
@@ -137,14 +139,14 @@
             self.deployment.fault(standin, **switches)
 
     def lines_at(self, standin: StandinHandle) -> list[str]:
-        """Read the lines of one backend server, past the proxies."""
+        """Read the lines of one backend server without a proxy."""
         connection = self.deployment.connect_directly(standin)
         with connection, connection.cursor() as cursor:
             cursor.execute(self.select())
             return sorted(str(row[0]) for row in cursor.fetchall())
 
     def positions(self) -> set[tuple[int, int]]:
-        """Return the positions at which the running backend servers are."""
+        """Return the different log positions of the running backend servers."""
         found = set()
         for standin in self.running_standins():
             status = self.diagnostics(standin)["status"]
@@ -162,14 +164,14 @@
 
         self.eventually("common position of all backend servers", is_replicated)
 
-    def settled_lines(self) -> list[str]:
-        """Return the lines that every backend server has in the end."""
+    def replicated_lines(self) -> list[str]:
+        """Clear all faults and return the lines once every backend server has them."""
         self.fault(self.running_standins(), **{**NO_FAULTS, "leaving": False})
         self.wait_replicated()
         return list(self._lines().pop())
 
     def change_settings(self, **overrides: Any) -> None:
-        """Change the root's settings and wait until they are in force."""
+        """Change the root's settings and wait until all running proxies apply them."""
         deployment = self.deployment
         self._has_changed_settings = bool(overrides)
         settings = {**deployment.root_settings(), **overrides}
@@ -188,7 +190,7 @@
         return [p for p in self.deployment.proxies if processes.is_running(p.name)]
 
     def _restore_processes(self) -> None:
-        """Let all processes run that the scenario has frozen or killed."""
+        """Resume or restart the processes that the scenario has frozen or killed."""
         processes = self.deployment.processes
         for _role, name, _pid in processes.pids():
             if processes.is_running(name):
--- a/features/support/writers.py
+++ b/features/support/writers.py
@@ -1,4 +1,4 @@
-"""Callers that write all the time."""
+"""Callers that write continuously."""
 
 import threading
 import time
@@ -9,12 +9,12 @@
 
 
 class Writers:
-    """Callers that write numbered lines all the time, each at another proxy."""
+    """Callers that write numbered lines continuously, spread over three proxies."""
 
     def __init__(self, world: World, count: int) -> None:
         self._world = world
         self._stopped = threading.Event()
-        self.told: dict[str, str] = {}
+        self.outcomes: dict[str, str] = {}
         self._threads = [
             threading.Thread(
                 target=self._write,
@@ -26,7 +26,7 @@
         ]
 
     def set_up(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         for thread in self._threads:
             thread.start()
 
@@ -37,13 +37,13 @@
             thread.join()
 
     def lines(self, outcome: str) -> set[str]:
-        """Return the lines that were told an outcome of."""
-        return {line for line, told in list(self.told.items()) if told == outcome}
+        """Return the lines whose write had a given outcome."""
+        return {line for line, found in list(self.outcomes.items()) if found == outcome}
 
     def _write(self, caller: Caller, number: int) -> None:
         count = 0
         while not self._stopped.is_set():
             line = f"writer {number} line {count}"
-            self.told[line] = caller.run(self._world.insert(line)).outcome
+            self.outcomes[line] = caller.run(self._world.insert(line)).outcome
             count += 1
             time.sleep(POLL_SECONDS)
--- a/features/transactions.feature
+++ b/features/transactions.feature
@@ -34,8 +34,8 @@
 
   @own-deployment @guard.commit-silence-acknowledged
   Scenario: A commit without an answer is unknown
-    The primary falls silent between the write and its commit. Whether the commit
-    took effect cannot be told; "ok" would be a lie as much as "not run".
+    The primary stops answering between the write and its commit. Whether the commit
+    took effect is not known; "ok" could be as false as "not run".
 
     Given a caller "agent" at proxy 1
     When "agent" begins a transaction
@@ -47,8 +47,8 @@
 
   @own-deployment @ample-connections @guard.shares-fixed
   Scenario: An open transaction leaves room for others
-    The server has connections to spare, and the transaction needs one of them. A
-    proxy that keeps its first small share refuses all other callers until it ends.
+    The server has spare connections, and the transaction needs one of them. A proxy
+    that keeps its small initial share refuses all other callers until it ends.
 
     Given a caller "agent" at proxy 1
     And a caller "shopper" at proxy 1
--- a/features/whole_answers.feature
+++ b/features/whole_answers.feature
@@ -1,14 +1,14 @@
 @whole-answers
 Feature: Every caller gets the whole answer to its own request
 
-  Answers come late, break off or are larger than the proxy's memory. A caller that
-  reads another's answer, or a part for the whole, shows one shopper's order to
-  another.
+  Answers arrive late, are cut off or are larger than the proxy's memory. A caller that
+  reads another caller's answer, or takes a partial result for a complete one, shows
+  one shopper's order to another.
 
   @guard.late-answer-kept
   Scenario: A late answer is never read as the next statement's
     The statement takes longer than its deadline. Its answer arrives on a connection
-    that the next statement could get.
+    that the next statement could use.
 
     Given statements take 600 ms at every backend server
     And a caller "agent" at proxy 1
