--- a/tests/consensus/test_lost_leader.py
+++ b/tests/consensus/test_lost_leader.py
@@ -75,8 +75,7 @@
     """A second power loss before the new leader has committed an entry.
 
     The voters that start last request a read point from the leader, which has none
-    yet. Guards against an internal error as the response, which fuzzing with seed 777
-    produced.
+    yet. Guards against an internal error as the response (seed 777 of the fuzz tests).
     """
 
     def lose_power_everywhere(self, cluster: Cluster) -> None:
