--- a/tests/failover/fakes.py
+++ b/tests/failover/fakes.py
@@ -151,9 +151,9 @@
         term = max(one.term for one in self.servers.values()) + 1
         for one in self.servers.values():
             one.role = Role.PRIMARY if one.name == name else Role.REPLICA
-        leader = self.servers[name]
-        leader.term, leader.paused_term = term, 0
-        leader.received = Position(term, leader.received.offset)
+        primary = self.servers[name]
+        primary.term, primary.paused_term = term, 0
+        primary.received = Position(term, primary.received.offset)
 
     def _reach(self, server: BackendServer) -> FakeServer:
         fake = self.servers[server.name]
--- a/tests/failover/test_change.py
+++ b/tests/failover/test_change.py
@@ -58,17 +58,17 @@
     def test_restarted_replica_is_fenced_again(self) -> None:
         # A restart ends a replica's pause, and the replica has received a write since.
         # The position it reported before the restart must not be used.
-        change = self.voter
+        voter = self.voter
         self.servers["s1"].is_silent = self.servers["s3"].is_silent = True
-        change.begin()
-        change.change(max_pauses=2)
+        voter.begin()
+        voter.change(max_pauses=2)
         restarted = self.servers["s2"]
         restarted.incarnation, restarted.paused_term = 2, 0
         restarted.received = Position(1, 108)
-        change.commit(RecordServer(restarted.described()))
+        voter.commit(RecordServer(restarted.described()))
         self.servers["s3"].is_silent = False
-        change.change()
-        self.assertEqual(change.primary, "s2")
+        voter.change()
+        self.assertEqual(voter.primary, "s2")
 
     def test_each_promotion_call_carries_a_higher_token(self) -> None:
         self.servers["s1"].is_silent = True
@@ -86,11 +86,11 @@
         self.voter.group.answers = [UNKNOWN, True]
         self.voter.begin()
         self.voter.change()
-        leader = self.voter.primary
+        primary = self.voter.primary
         name, token = self.voter.group.late[0]
-        self.voter.group.complete_promotion("s3" if leader == "s2" else "s2", token)
-        self.assertIs(self.servers[leader or ""].role, Role.PRIMARY)
-        self.assertEqual(name, leader)
+        self.voter.group.complete_promotion("s3" if primary == "s2" else "s2", token)
+        self.assertIs(self.servers[primary or ""].role, Role.PRIMARY)
+        self.assertEqual(name, primary)
 
     def test_refused_promotion_is_retried_under_a_new_term(self) -> None:
         self.servers["s1"].is_silent = True
--- a/tests/failover/test_poll_load.py
+++ b/tests/failover/test_poll_load.py
@@ -104,10 +104,10 @@
         with ExitStack() as self.stack:
             polls = [self.send("GET", FIRST_POLL) for _ in range(PROXIES)]
             pauses: list[int] = []
-            give_up_at = time.monotonic() + ANSWER_TIMEOUT_SECONDS
+            deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
             while len(pauses) < PROXIES - MAX_WATCHERS:
                 self.assertLess(
-                    time.monotonic(), give_up_at, "excess polls are not answered"
+                    time.monotonic(), deadline, "excess polls are not answered"
                 )
                 answered = [one for one in polls if self.has_answer(one)]
                 pauses += [self.retry_after_ms(one) for one in answered]
--- a/tests/failover/test_voters.py
+++ b/tests/failover/test_voters.py
@@ -60,8 +60,8 @@
         # and its first answer, the leader must not count it as silent for the whole
         # leadership: it would seem silent for longer than the lost identity, which fell
         # silent a second ago, and would be removed permanently instead of it. If a
-        # failure domain is then cut off, as four seconds later, two of three voters are
-        # gone and no primary can be replaced until the partition heals.
+        # failure domain is cut off four seconds later, two of three voters are gone and
+        # no primary can be replaced until the partition heals.
         lost = member("n3", silent=1.4)
         joined = replace(
             member("n9", is_voter=False),
