--- a/packages/control/src/dogwoodspool_control/promotion/groups.py
+++ b/packages/control/src/dogwoodspool_control/promotion/groups.py
@@ -68,11 +68,11 @@
         Rejections are stored too: a delayed copy of a rejected request must not take
         effect after its operator was told that it was rejected.
         """
-        remembered = self._change_outcomes.get(command.change_id)
-        if remembered is not None:
-            return remembered
+        recorded = self._change_outcomes.get(command.change_id)
+        if recorded is not None:
+            return recorded
         outcome = self._begin(index, command, servers)
-        self._remember(command.change_id, outcome)
+        self._record_outcome(command.change_id, outcome)
         return outcome
 
     def choose(self, index: int, command: ChoosePrimary) -> Outcome:
@@ -176,7 +176,7 @@
             chosen=None,
         )
 
-    def _remember(self, change_id: str, outcome: Outcome) -> None:
+    def _record_outcome(self, change_id: str, outcome: Outcome) -> None:
         if not change_id:
             return
         self._change_outcomes[change_id] = outcome
--- a/packages/control/src/dogwoodspool_control/promotion/planned.py
+++ b/packages/control/src/dogwoodspool_control/promotion/planned.py
@@ -41,11 +41,11 @@
             LeadershipLostError: another voter leads.
             OutcomeUnknownError: it may have begun; retry with the same id.
         """
-        remembered = self._state.change_outcome(request.change_id)
-        if remembered is not None:
-            if not remembered.is_accepted:
-                raise CommandRejectedError(remembered.code, remembered.message)
-            return remembered.version
+        recorded = self._state.change_outcome(request.change_id)
+        if recorded is not None:
+            if not recorded.is_accepted:
+                raise CommandRejectedError(recorded.code, recorded.message)
+            return recorded.version
         self._node.require_leadership()
         group = self._state.group(request.group)
         if group is None:
--- a/tests/control/promotion/test_detector.py
+++ b/tests/control/promotion/test_detector.py
@@ -23,9 +23,9 @@
         self.clock = ManualClock()
         self.detector = FailureDetector(self.clock)
         self.detector.reset(TIMES.renew_interval)
-        self.run_smoothly(0.7)
+        self.run_ticks(0.7)
 
-    def run_smoothly(self, seconds: float) -> None:
+    def run_ticks(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK)):
             self.clock.advance(TICK)
             self.detector.tick()
@@ -86,13 +86,13 @@
         make the two domains on the leader's side the majority.
         """
         self.report("p0 p1 p2 p3 p4 p5 p6 p7", 0)
-        self.run_smoothly(0.7)
+        self.run_ticks(0.7)
         self.report("p0 p1 p4 p5", 700)
         self.assertFalse(self.is_failed())
 
     def test_old_renewals_do_not_count(self) -> None:
         self.report("p0 p1 p2 p4 p5 p6", 700)
-        self.run_smoothly(0.65)
+        self.run_ticks(0.65)
         self.assertFalse(self.is_failed())
 
     def test_leader_discards_observations_after_a_suspension(self) -> None:
@@ -104,10 +104,10 @@
         self.clock.advance(0.4)
         self.report("p0 p1 p2 p4 p5 p6", 700)
         self.assertFalse(self.is_failed())
-        self.run_smoothly(0.3)
+        self.run_ticks(0.3)
         self.report("p0 p1 p2 p4 p5 p6", 700)
         self.assertFalse(self.is_failed())
-        self.run_smoothly(0.4)
+        self.run_ticks(0.4)
         self.report("p0 p1 p2 p4 p5 p6", 700)
         self.assertTrue(self.is_failed())
 
@@ -116,7 +116,7 @@
         status = ServerStatus("s1", Role.REPLICA, Position(2, 7), 0.0, False)
         self.report(names, 0, status)
         self.assertFalse(self.is_failed(term=2))
-        self.run_smoothly(0.65)
+        self.run_ticks(0.65)
         self.report(names, 0, status)
         self.assertTrue(self.is_failed(term=2))
 
@@ -125,6 +125,6 @@
         names = "p0 p1 p2 p4 p5 p6"
         status = ServerStatus("s1", Role.REPLICA, Position(1, 7), 0.0, False)
         self.report(names, 0, status)
-        self.run_smoothly(0.65)
+        self.run_ticks(0.65)
         self.report(names, 0, status)
         self.assertFalse(self.is_failed(term=2))
--- a/tests/control/promotion/test_promotion.py
+++ b/tests/control/promotion/test_promotion.py
@@ -36,7 +36,7 @@
 BEGIN = BeginPromotion(GROUP, 1, PromotionReason.FAILED)
 
 
-def cut_before(kind: str) -> Callable[[dict[str, Any]], bool]:
+def is_kind(kind: str) -> Callable[[dict[str, Any]], bool]:
     """Return a predicate that matches commands of one kind."""
     return lambda command: command["kind"] == kind
 
@@ -139,7 +139,7 @@
         next server needs another one: two histories would share a term otherwise.
         """
         self.voter.commit(BEGIN)
-        self.voter.log_node.loses_leadership_before = cut_before("end_promotion")
+        self.voter.log_node.loses_leadership_before = is_kind("end_promotion")
         self.assertTrue(self.promote(self.voter))
         self.servers.servers["s2"].is_silent = True
         self.voter.log_node.loses_leadership_before = lambda _command: False
@@ -149,20 +149,20 @@
         self.servers.servers["s1"].position = Position(1, 17)
         self.assertTrue(self.promote(self.voter))
         self.assert_steady(3, "s3")
-        taken = [call for call in self.servers.calls if call[0] == "promote"]
+        promotions = [call for call in self.servers.calls if call[0] == "promote"]
         self.assertEqual(
-            {(name, term) for _, name, term in taken}, {("s2", 2), ("s3", 3)}
+            {(name, term) for _, name, term in promotions}, {("s2", 2), ("s3", 3)}
         )
 
     def test_chosen_server_that_lost_entries_is_not_accepted_as_primary(self) -> None:
         self.voter.commit(BEGIN)
         promote = self.servers.promote
 
-        def forget_and_promote(server: BackendServer, term: int) -> ServerStatus:
+        def lose_entries_and_promote(server: BackendServer, term: int) -> ServerStatus:
             self.servers.servers["s2"].position = Position(1, 5)
             return promote(server, term)
 
-        self.servers.promote = forget_and_promote  # type: ignore[method-assign]
+        self.servers.promote = lose_entries_and_promote  # type: ignore[method-assign]
         self.assertFalse(self.promote(self.voter, seconds=2.0))
         group = self.voter.state.group(GROUP)
         assert group is not None
@@ -174,12 +174,12 @@
 
     def test_every_step_can_be_resumed(self) -> None:
         for number, kind in enumerate(("choose_primary", "end_promotion")):
-            with self.subTest(cut_before=kind):
+            with self.subTest(loses_leadership_before=kind):
                 term = self.voter.state.groups[GROUP].term
                 self.voter.lead(term=2 * number + 1)
                 self.other.stop_leading()
                 self.voter.commit(BeginPromotion(GROUP, term, PromotionReason.FAILED))
-                self.voter.log_node.loses_leadership_before = cut_before(kind)
+                self.voter.log_node.loses_leadership_before = is_kind(kind)
                 self.assertTrue(self.promote(self.voter))
                 phase = self.other.state.groups[GROUP].phase
                 self.assertIs(phase, Phase.PROMOTING)
--- a/tests/control/promotion/test_reconciler.py
+++ b/tests/control/promotion/test_reconciler.py
@@ -51,7 +51,7 @@
             ).run()
         return sorted(self.servers.calls)
 
-    def see(self, name: str, role: Role, position: Position) -> None:
+    def observe(self, name: str, role: Role, position: Position) -> None:
         status = ServerStatus(name, role, position, 0.0, False)
         seen = [observation(name, status=status)]
         self.server_observations.observe(renewal("p1", observations=seen))
@@ -63,16 +63,16 @@
         it is told to follow the new primary.
         """
         self.voter.commit(EndPromotion(GROUP, 2, 5))
-        self.see("s1", Role.PRIMARY, Position(1, 8))
-        self.see("s2", Role.PRIMARY, Position(2, 6))
-        self.see("s3", Role.REPLICA, Position(1, 5))
+        self.observe("s1", Role.PRIMARY, Position(1, 8))
+        self.observe("s2", Role.PRIMARY, Position(2, 6))
+        self.observe("s3", Role.REPLICA, Position(1, 5))
         self.assertEqual(self.run_once(), [("follow", "s1", 2), ("follow", "s3", 2)])
 
     def test_no_server_is_told_to_follow_during_a_promotion(self) -> None:
-        self.see("s1", Role.PRIMARY, Position(1, 8))
+        self.observe("s1", Role.PRIMARY, Position(1, 8))
         self.assertEqual(self.run_once(), [])
 
     def test_replica_of_the_current_term_is_not_told_to_follow(self) -> None:
         self.voter.commit(EndPromotion(GROUP, 2, 5))
-        self.see("s3", Role.REPLICA, Position(2, 5))
+        self.observe("s3", Role.REPLICA, Position(2, 5))
         self.assertEqual(self.run_once(), [])
