--- a/packages/api/src/dogwoodspool_api/models.py
+++ b/packages/api/src/dogwoodspool_api/models.py
@@ -78,7 +78,7 @@
 
 
 class Announcement(ServerDescription):
-    """Announcement of a backend server to the entry instances of its failure domain."""
+    """Announcement of a backend server to the proxies of its failure domain."""
 
     role: Role
     position: PositionMessage
@@ -306,7 +306,7 @@
 
 
 class RemovedItems(Message):
-    """Items that a view of differences removes, by name or path."""
+    """Items that a delta view removes, by name or path."""
 
     groups: list[str] = []
     servers: list[str] = []
@@ -347,8 +347,8 @@
     Attributes:
         members: the control processes.
         is_current: whether the answering process is in contact with the leader.
-        retry_after_ms: delay before the next poll, when too many polls are already
-            waiting for this one to wait too; 0 when it was answered in full.
+        retry_after_ms: delay before the next poll if all slots for waiting polls were
+            taken; 0 otherwise.
     """
 
     view: ControlView | None
@@ -359,7 +359,7 @@
 
 
 class ServerReport(Message):
-    """A proxy's report to control on a backend server that it has trouble with.
+    """A proxy's report to control on a backend server that fails for it.
 
     Attributes:
         failing_ms: time since its last successful answer.
@@ -374,7 +374,7 @@
 
 
 class ServerReports(Message):
-    """Reports of one proxy, which has no trouble with servers not listed."""
+    """Reports of one proxy, for which servers that are not listed work."""
 
     proxy: Name
     failure_domain: Name
