--- a/packages/common/src/dogwoodspool_common/http_server.py
+++ b/packages/common/src/dogwoodspool_common/http_server.py
@@ -61,7 +61,7 @@
             max_request_body_size=MAX_HTTP_BODY_BYTES,
             clear_untrusted_proxy_headers=True,
             ident="dogwoodspool",
-            # The library's default of 100 locks out peers where there are many proxies.
+            # The library's default of 100 is too low where there are many proxies.
             connection_limit=MAX_HTTP_CONNECTIONS,
             asyncore_use_poll=True,
         )
--- a/packages/common/src/dogwoodspool_common/log.py
+++ b/packages/common/src/dogwoodspool_common/log.py
@@ -157,11 +157,11 @@
     Example:
         >>> log_rate_limited("request_refused", request="5c0e", reason="queue_full")
     """
-    left_out = _rate_limiter.take(event, time.monotonic())
-    if left_out is None:
+    suppressed = _rate_limiter.take(event, time.monotonic())
+    if suppressed is None:
         return
-    if left_out:
-        fields["left_out"] = left_out
+    if suppressed:
+        fields["left_out"] = suppressed
     log_event(event, level, **fields)
 
 
--- a/packages/common/src/dogwoodspool_common/process.py
+++ b/packages/common/src/dogwoodspool_common/process.py
@@ -19,9 +19,10 @@
 
 ENV_PREFIX: Final = "DOGWOODSPOOL_"
 EXIT_BAD_SETTINGS: Final = 2
-# The start time that the kernel reports may use another clock, for example in a time
-# namespace. A start time in the future would keep a voter out of elections permanently;
-# one in the distant past would let it vote against a leader it has just heard from.
+# The load time of this module stands for the start time of the process. The start time
+# that the kernel reports may use another clock, for example in a time namespace. A
+# start time in the future would keep a voter out of elections permanently; one in the
+# distant past would let it vote against a leader it has just heard from.
 _LOADED_AT: Final = SystemClock().now()
 
 ModelT = TypeVar("ModelT", bound=BaseModel)
--- a/tests/common/test_json_lines.py
+++ b/tests/common/test_json_lines.py
@@ -21,7 +21,7 @@
 )
 from dogwoodspool_common.const import MAX_LINE_BYTES
 
-SECOND = 1.0
+TIMEOUT_SECONDS = 1.0
 connect = socket.create_connection
 
 
@@ -29,7 +29,7 @@
     """A client calls a server's endpoints over persistent connections."""
 
     def setUp(self) -> None:
-        self.peers: set[int] = set()
+        self.serving_threads: set[int] = set()
         self.release = threading.Event()
         routes = [
             Route("POST", "/double", self.double),
@@ -40,7 +40,7 @@
         self.server.set_up()
         self.addCleanup(self.server.unload)
         self.addCleanup(self.release.set)
-        self.accepted = 0
+        self.connect_count = 0
         self.enterContext(
             patch("socket.create_connection", side_effect=self.counting_connect)
         )
@@ -48,11 +48,11 @@
         self.addCleanup(self.client.close)
 
     def counting_connect(self, *arguments: Any) -> socket.socket:
-        self.accepted += 1
+        self.connect_count += 1
         return connect(*arguments)
 
     def double(self, request: JsonRequest) -> JsonResponse:
-        self.peers.add(threading.get_ident())
+        self.serving_threads.add(threading.get_ident())
         return JsonResponse({"value": request.body["value"] * 2})
 
     def wait(self, _request: JsonRequest) -> JsonResponse:
@@ -63,14 +63,14 @@
         raise RuntimeError("handler failed")
 
     def post(self, path: str, body: dict[str, object]) -> dict[str, object]:
-        return self.client.post(self.server.address, path, body, SECOND)
+        return self.client.post(self.server.address, path, body, TIMEOUT_SECONDS)
 
     def test_calls_reuse_one_connection(self) -> None:
         for value in range(20):
             self.assertEqual(
                 self.post("/double", {"value": value}), {"value": 2 * value}
             )
-        self.assertEqual(len(self.peers), 1)
+        self.assertEqual(len(self.serving_threads), 1)
 
     def test_large_messages_arrive_complete(self) -> None:
         text = "line\n" * 200_000
@@ -99,13 +99,13 @@
             self.release.set()
             for call in calls:
                 call.result()
-        before = self.accepted
+        before = self.connect_count
         self.release.clear()
         with self.assertRaises(PeerUnreachableError):
             self.client.post(self.server.address, "/wait", {}, 0.05)
-        self.assertEqual(self.accepted, before)
+        self.assertEqual(self.connect_count, before)
         self.post("/double", {"value": 1})
-        self.assertEqual(self.accepted, before + 1)
+        self.assertEqual(self.connect_count, before + 1)
 
     def test_refused_connection_reports_that_nothing_was_sent(self) -> None:
         self.server.unload()
@@ -124,7 +124,9 @@
 
         threading.Thread(target=close_first, daemon=True).start()
         with self.assertRaises(PeerUnreachableError) as caught:
-            self.client.post(Address(*listener.getsockname()), "/x", {}, SECOND)
+            self.client.post(
+                Address(*listener.getsockname()), "/x", {}, TIMEOUT_SECONDS
+            )
         self.assertNotIsInstance(caught.exception, PeerNotConnectedError)
 
     def test_user_timeout_is_set_on_connections(self) -> None:
--- a/tests/common/test_log.py
+++ b/tests/common/test_log.py
@@ -39,9 +39,9 @@
         output = io.StringIO()
         writer = QueuedWriter(output)
         writer.set_up()
-        writer.write("last words\n")
+        writer.write("last line\n")
         writer.unload()
-        self.assertEqual(output.getvalue(), "last words\n")
+        self.assertEqual(output.getvalue(), "last line\n")
 
 
 class EventRateLimiterTests(unittest.TestCase):
