--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -129,10 +129,10 @@
     """A heartbeat is decoded to a server or rejected."""
 
     def test_heartbeat_is_decoded_to_a_server(self) -> None:
-        beat = decode_heartbeat("i-1", heartbeat())
-        self.assertEqual(beat.server.name, "i-1")
-        self.assertEqual(beat.server.incarnation, 1_790_000_000_000)
-        self.assertIs(beat.role, Role.REPLICA)
+        decoded = decode_heartbeat("i-1", heartbeat())
+        self.assertEqual(decoded.server.name, "i-1")
+        self.assertEqual(decoded.server.incarnation, 1_790_000_000_000)
+        self.assertIs(decoded.role, Role.REPLICA)
 
     def test_invalid_heartbeats_are_rejected(self) -> None:
         cases: dict[str, Any] = {
