--- a/packages/consensus/src/dogwoodspool_consensus/leader_probe.py
+++ b/packages/consensus/src/dogwoodspool_consensus/leader_probe.py
@@ -33,8 +33,8 @@
         The caller holds the lock.
         """
         state = self._state
-        is_unheard = state.leader_id == peer and state.leader_address is None
-        if state.role is not Role.FOLLOWER or not is_unheard:
+        is_known_from_log = state.leader_id == peer and state.leader_address is None
+        if state.role is not Role.FOLLOWER or not is_known_from_log:
             return NOT_DUE
         return self._next_at
 
--- a/packages/consensus/src/dogwoodspool_consensus/state.py
+++ b/packages/consensus/src/dogwoodspool_consensus/state.py
@@ -153,8 +153,8 @@
         since it started, its votes cannot violate a lease any more: what it
         acknowledged before its start was for that process, which has ended.
         """
-        is_unheard = self.leader_id == peer and self.leader_address is None
-        if self.role is not Role.FOLLOWER or not is_unheard:
+        is_known_from_log = self.leader_id == peer and self.leader_address is None
+        if self.role is not Role.FOLLOWER or not is_known_from_log:
             return
         log_event("leader_ended", node=self.node_id, leader=peer, term=self.term)
         self.leader_id = None
--- a/tests/consensus/test_fuzz.py
+++ b/tests/consensus/test_fuzz.py
@@ -268,8 +268,8 @@
     """Histories of nodes that wait for a read point repeatedly.
 
     Guards against a simulated clock that a wait advances for the waiting node alone: it
-    gained half a second within two, and a follower was elected within the leader's
-    lease (seed 777).
+    runs half a second ahead after two seconds, and a follower is elected within the
+    leader's lease (seed 777).
     """
 
     def setUp(self) -> None:
--- a/tests/consensus/test_lost_leader.py
+++ b/tests/consensus/test_lost_leader.py
@@ -83,7 +83,7 @@
             cluster.crash(name)
         cluster.heal()
 
-    def test_all_elect_once_more(self) -> None:
+    def test_leader_is_elected_after_both(self) -> None:
         cluster = Cluster(3)
         cluster.leader()
         cluster.heal()
@@ -93,7 +93,7 @@
         cluster.run(3.0)
         self.assertEqual(len(cluster.leaders()), 1)
 
-    def test_a_leader_without_a_commit_answers_that_it_has_none(self) -> None:
+    def test_leader_without_a_commit_does_not_confirm_a_read(self) -> None:
         cluster = Cluster(3)
         node = cluster.nodes[cluster.leader()]
         node._state.first_own_index = node._state.log.last_index + 1_000
--- a/tests/consensus/test_restart.py
+++ b/tests/consensus/test_restart.py
@@ -144,7 +144,7 @@
         members = self.node.diagnostics().members
         return {one.node_id: one.is_voter for one in members}
 
-    def test_a_learner_takes_the_vote_of_a_silent_voter(self) -> None:
+    def test_learner_replaces_a_silent_voter(self) -> None:
         cluster = self.cluster
         cluster.start("n9")
         self.node.add_learner("n9", cluster.addresses["n9"], "fd9", 5.0)
@@ -163,7 +163,7 @@
         self.node.add_voter(silent, cluster.addresses[silent], 5.0)
         self.assertTrue(self.members()[silent])
 
-    def test_a_learner_says_where_it_runs(self) -> None:
+    def test_learner_reports_its_failure_domain(self) -> None:
         self.cluster.start("n9")
         address = self.cluster.addresses["n9"]
         self.node.add_learner("n9", address, "", 5.0)
