--- a/packages/failover/src/dogwoodspool_failover/joining.py
+++ b/packages/failover/src/dogwoodspool_failover/joining.py
@@ -50,7 +50,7 @@
         self._client = client
 
     def step(self) -> float:
-        """Send a join request unless the members list this process as it is."""
+        """Send a join request unless this process is listed with its failure domain."""
         if self._is_known():
             return JOIN_CHECK_SECONDS
         address = self._peers.leader_or_next()
