--- a/packages/control/src/dogwoodspool_control/const.py
+++ b/packages/control/src/dogwoodspool_control/const.py
@@ -78,7 +78,7 @@
 
 PROGRAM_NAME: Final = "dogwoodspool-control"
 WORKER_THREADS: Final = 48
-MAX_RATED_PROXIES: Final = 256
+MAX_RATE_LIMITED_PROXIES: Final = 256
 ROLE_STATEMENT_TIMEOUT: Final = 2.0
 
 # Pause before another attempt to replace a primary that leaves.
--- a/packages/control/src/dogwoodspool_control/grants/grants.py
+++ b/packages/control/src/dogwoodspool_control/grants/grants.py
@@ -137,7 +137,7 @@
                 if holding.group == group and holding.expires_at > now
             ]
 
-    def knowledge(self, group: str) -> AcknowledgedWrites:
+    def acknowledged_writes(self, group: str) -> AcknowledgedWrites:
         """Return what is known about a group's acknowledged writes."""
         is_replicated = self._state.settings.is_settled(group)
         with self._lock:
--- a/packages/control/src/dogwoodspool_control/membership/maintenance.py
+++ b/packages/control/src/dogwoodspool_control/membership/maintenance.py
@@ -115,7 +115,7 @@
         group = self._state.group(name)
         if group is None or not self._is_strict_everywhere(name, settings_index):
             return False
-        acks = self._table.knowledge(name)
+        acks = self._table.acknowledged_writes(name)
         server_observations = self._server_observations.all
         return self._table.is_history_known(name) and any(
             server.name != group.primary
--- a/packages/control/src/dogwoodspool_control/promotion/choose_step.py
+++ b/packages/control/src/dogwoodspool_control/promotion/choose_step.py
@@ -138,7 +138,7 @@
                 promotion=promotion,
                 servers=servers,
                 statuses=statuses,
-                acks=self._dependencies.table.knowledge(promotion.group),
+                acks=self._dependencies.table.acknowledged_writes(promotion.group),
                 term_starts=() if group is None else group.term_starts,
                 may_keep_primary=self._may_keep_primary(),
                 must_catch_up=must_catch_up,
--- a/packages/control/src/dogwoodspool_control/runtime.py
+++ b/packages/control/src/dogwoodspool_control/runtime.py
@@ -6,7 +6,7 @@
 from dogwoodspool_consensus import ConsensusNode
 
 from .command_queue import CommandQueue
-from .const import MAX_RATED_PROXIES, MAX_WATCHERS, WORKER_THREADS
+from .const import MAX_RATE_LIMITED_PROXIES, MAX_WATCHERS, WORKER_THREADS
 from .grants.grants import GrantTable
 from .grants.release import ReleaseClient
 from .grants.renewals import RenewalRate, Renewals
@@ -111,7 +111,7 @@
             detector=detector,
             server_observations=server_observations,
             queue=self._queue,
-            rate=RenewalRate(clock, MAX_RATED_PROXIES),
+            rate=RenewalRate(clock, MAX_RATE_LIMITED_PROXIES),
             on_unreachable=self._loop.wake,
         )
         planned = PlannedPromotions(clock, node, state, role_changers, timeline)
--- a/tests/control/grants/test_grants.py
+++ b/tests/control/grants/test_grants.py
@@ -105,7 +105,7 @@
         self.assertEqual(len(self.table.holdings(GROUP)), 1)
 
 
-class AckKnowledgeTests(unittest.TestCase):
+class AcknowledgedWritesTests(unittest.TestCase):
     """What is known about acknowledged writes."""
 
     def setUp(self) -> None:
@@ -118,13 +118,13 @@
     def test_acks_are_complete_once_history_and_holders_are_known(self) -> None:
         self.clock.advance(2.0)
         self.table.renew(renewal("p1", acked=Position(1, 5)), 2.0)
-        self.assertFalse(self.table.knowledge(GROUP).is_complete)
+        self.assertFalse(self.table.acknowledged_writes(GROUP).is_complete)
         self.table.record_primary_position(GROUP, Position(1, 9), asked_at=2.0)
-        self.assertFalse(self.table.knowledge(GROUP).is_complete)
+        self.assertFalse(self.table.acknowledged_writes(GROUP).is_complete)
         self.table.release(Release("p1", "p1-a", GROUP, 1, Position(1, 12)))
-        knowledge = self.table.knowledge(GROUP)
-        self.assertTrue(knowledge.is_complete)
-        self.assertEqual(knowledge.positions, (Position(1, 12),))
+        acks = self.table.acknowledged_writes(GROUP)
+        self.assertTrue(acks.is_complete)
+        self.assertEqual(acks.positions, (Position(1, 12),))
 
     def test_position_from_before_the_predecessors_leases_ended_is_no_bound(
         self,
@@ -132,12 +132,12 @@
         self.table.renew(renewal("p1"), 0.0)
         self.table.release(Release("p1", "p1-a", GROUP, 1, None))
         self.table.record_primary_position(GROUP, Position(1, 9), asked_at=1.0)
-        self.assertFalse(self.table.knowledge(GROUP).is_complete)
+        self.assertFalse(self.table.acknowledged_writes(GROUP).is_complete)
 
     def test_writes_acknowledged_by_the_primary_alone_count_as_unreplicated(
         self,
     ) -> None:
-        self.assertTrue(self.table.knowledge(GROUP).is_replicated)
+        self.assertTrue(self.table.acknowledged_writes(GROUP).is_replicated)
         change_root(self.voter, 0, write_ack="primary")
         change_root(self.voter, 1, write_ack="replica")
-        self.assertFalse(self.table.knowledge(GROUP).is_replicated)
+        self.assertFalse(self.table.acknowledged_writes(GROUP).is_replicated)
