--- a/tests/consensus/test_lost_leader.py
+++ b/tests/consensus/test_lost_leader.py
@@ -75,8 +75,7 @@
     """A second power loss before the new leader has committed an entry.
 
     The voters that start last request a read point from the leader, which has none
-    yet. Guards against an internal error as the response, which fuzzing with seed 777
-    produced.
+    yet. Guards against an internal error as the response (seed 777 of the fuzz tests).
     """
 
     def lose_power_everywhere(self, cluster: Cluster) -> None:
@@ -84,7 +83,7 @@
             cluster.crash(name)
         cluster.heal()
 
-    def test_all_elect_once_more(self) -> None:
+    def test_leader_is_elected_after_both(self) -> None:
         cluster = Cluster(3)
         cluster.leader()
         cluster.heal()
@@ -94,7 +93,7 @@
         cluster.run(3.0)
         self.assertEqual(len(cluster.leaders()), 1)
 
-    def test_a_leader_without_a_commit_answers_that_it_has_none(self) -> None:
+    def test_leader_without_a_commit_does_not_confirm_a_read(self) -> None:
         cluster = Cluster(3)
         node = cluster.nodes[cluster.leader()]
         node._state.first_own_index = node._state.log.last_index + 1_000
